--- a/switchhub/__main__.py
+++ b/switchhub/__main__.py
@@ -24,22 +24,22 @@
 from switchhub.net.listener import Listener
 
 if TYPE_CHECKING:
-    from switchhub.handover.taker import Taker
+    from switchhub.handover.receiver import HandoverReceiver
     from switchhub.peers.node import Node
 
 FEWEST = FOR_FILES + 8  # descriptors with which a balancer can serve anybody
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
-async def taker(config: Config) -> Taker | None:
+async def handover_receiver(config: Config) -> HandoverReceiver | None:
     """What can be taken over from a process of this balancer that runs already."""
     if config.management is None:
         return None
-    from switchhub.handover.giver import path_of
-    from switchhub.handover.taker import Taker
+    from switchhub.handover.receiver import HandoverReceiver
+    from switchhub.handover.sender import socket_path
 
-    path = path_of(os.environ.get("TMPDIR", ""), config.name)
-    return await Taker.find(path, config.listen) if path else None
+    path = socket_path(os.environ.get("TMPDIR", ""), config.name)
+    return await HandoverReceiver.find(path, config.listen) if path else None
 
 
 def peers(config: Config) -> Node | None:
@@ -63,7 +63,7 @@
 
 async def serve(config: Config, node: Node | None) -> None:
     """Run one balancer until a signal stops it."""
-    listener = Listener(config, await taker(config))
+    listener = Listener(config, await handover_receiver(config))
     if node is not None:
         listener.lifecycle.followers.append(node.follow)
         listener.pages.update(node.pages())
--- a/switchhub/handover/channel.py
+++ b/switchhub/handover/channel.py
@@ -14,7 +14,7 @@
 import struct
 from collections import deque
 
-from switchhub.handover.form import MESSAGE_MAX
+from switchhub.handover.messages import MESSAGE_MAX
 
 SOCKETS_MAX = 2
 _CREDENTIALS = struct.Struct("3i")  # linux: pid, uid, gid of the other side
--- a/switchhub/handover/link.py
+++ b/switchhub/handover/link.py
@@ -5,8 +5,8 @@
 other may still serve.
 
 Danger: what a stalled process holds may still be out at a server, and it may wake. So it is only ever
-counted: its ids stay taken, none of its requests is tried here. After `LOST` its clients have gone, and it
-counts for nothing in the sums; when it wakes, it tells of everything anew.
+counted: its ids stay taken, none of its requests is tried here. After `ABANDON_TIMEOUT_S` its clients have
+gone, and it counts for nothing in the sums; when it wakes, it tells of everything anew.
 """
 
 from __future__ import annotations
@@ -22,9 +22,15 @@
 
 from switchhub.decision.facade import Adopted, Ended
 from switchhub.decision.interface import Result
-from switchhub.handover import form
+from switchhub.handover import messages
+from switchhub.handover.accept_right import (
+    ABANDON_TIMEOUT_S,
+    HEARTBEAT_INTERVAL_S,
+    Heartbeat,
+    RightClaim,
+    RightState,
+)
 from switchhub.handover.channel import Channel
-from switchhub.handover.right import BEAT, LOST, Beat, Right, Side
 from switchhub.net.config import ConfigError, parse_address, parse_listing
 from switchhub.net.lines import LineError
 from switchhub.net.session import Session
@@ -39,17 +45,19 @@
 AT_ONCE = 32  # connections passed on that the other has not confirmed: so many are stuck if it stalls
 
 
-class Link:
+class ProcessLink:
     """One side of a pair."""
 
-    def __init__(self, node: Listener, channel: Channel, newer: bool, beats: bool, common: bool) -> None:
-        """`beats`: the other side's form knows the right; `common`: the accept queue is one for both."""
+    def __init__(
+        self, node: Listener, channel: Channel, is_newer: bool, beats: bool, shares_queue: bool
+    ) -> None:
+        """`beats`: the other side's form knows the right; `shares_queue`: one accept queue for both."""
         self._node, self._channel = node, channel
-        self.newer, self.common = newer, common
+        self.is_newer, self.shares_queue = is_newer, shares_queue
         self.pid = channel.pid()
-        self.side = Side(time.monotonic(), newer) if beats else None
+        self.side = RightState(time.monotonic(), is_newer) if beats else None
         self.known = asyncio.Event()  # the older one has said what it knows and holds
-        self._theirs: dict[str, form.Held] = {}  # counted here, served there
+        self._theirs: dict[str, messages.HeldConnection] = {}  # counted here, served there
         self._to_move: set[str] = set()  # of these: the module wants them moved
         self._told: dict[str, str] = {}  # ours that it was told of, and where they are
         self._sent: set[tuple[str, float, float]] = set()  # what both know to have been sent to cold servers
@@ -58,7 +66,7 @@
         self._out = 0  # passed on and not confirmed
         self._confirmed = asyncio.Event()
         self._looked = self._turned = time.monotonic()  # when the loop turned last; the same, and not full
-        self._beat = Beat(0, False, 0.0, False)  # written here, read by the thread
+        self._beat = Heartbeat(0, False, 0.0, False)  # written here, read by the thread
         self._over = threading.Event()
 
     # The right.
@@ -66,82 +74,84 @@
     @property
     def accepts(self) -> bool:
         """Whether this process accepts, as far as this pair goes."""
-        if not self.common:
+        if not self.shares_queue:
             return True
-        return self.newer if self.side is None else self.side.accepts
+        return self.is_newer if self.side is None else self.side.accepts
 
     @property
-    def holds(self) -> bool:
+    def holds_right(self) -> bool:
         """Whether the right is ours."""
-        return self.newer if self.side is None else self.side.holds
+        return self.is_newer if self.side is None else self.side.holds_right
 
     @property
-    def gave_way(self) -> bool:
+    def yielded(self) -> bool:
         """Whether the other, newer one holds the right."""
-        return not self.newer and (self.side is None or not self.side.holds)
+        return not self.is_newer and (self.side is None or not self.side.holds_right)
 
     @property
-    def serves(self) -> bool:
+    def can_receive_connections(self) -> bool:
         """Whether the newer one can be given what stands here."""
-        return self.gave_way and (self.side is None or not self.side.accepts)
+        return self.yielded and (self.side is None or not self.side.accepts)
 
-    def heard_since(self, at: float) -> bool:
+    def heartbeat_since(self, at: float) -> bool:
         """Whether the other has beaten since then, by the monotonic clock; one that can't beat has.
 
         Danger: one told to end leaves for good, and what serves may have stopped a moment ago."""
-        return self.side is None or self.side.watch.heard > at
+        return self.side is None or self.side.monitor.last_heartbeat > at
 
     def may_accept(self) -> bool:
         """Asked before each client."""
         return (
-            self.accepts if self.side is None else self.side.may_accept(time.monotonic()) or not self.common
+            self.accepts
+            if self.side is None
+            else self.side.may_accept(time.monotonic()) or not self.shares_queue
         )
 
-    def take(self, above: int) -> None:
+    def take_over(self, above: int) -> None:
         """Take over from the older one."""
-        assert self.newer
+        assert self.is_newer
         if self.side is None:
-            return self.send(form.write("take"))
-        word = self.side.take(time.monotonic(), above)
-        self.send(form.write("take", queue=self._node.queue(), generation=word.generation))
+            return self.send(messages.encode_message("take"))
+        word = self.side.take_over(time.monotonic(), above)
+        self.send(messages.encode_message("take", queue=self._node.queue(), generation=word.generation))
 
     def give_way(self, generation: int) -> None:
         """The newer one has taken over."""
         if self.side is not None:
-            self.side.hear_right(time.monotonic(), Right(generation, True))
+            self.side.receive_claim(time.monotonic(), RightClaim(generation, True))
 
     def _turn(self) -> None:
         """A look at the time."""
         assert self.side is not None
         node, side, now = self._node, self.side, time.monotonic()
-        if now - self._looked > LOST / 2:
+        if now - self._looked > ABANDON_TIMEOUT_S / 2:
             self._told.clear()  # the other may have given us up
         self._looked = now
         if not node.full:  # one without descriptors accepts nobody, as one that stands still
             self._turned = now
-        side.leaves = node.lifecycle.leaving
-        held = side.holds
-        if (word := side.turn(now, self._channel.unread())) is not None:
-            self.send(form.write("right", **word._asdict()))
-        if side.holds is not held:
+        side.shutting_down = node.lifecycle.leaving
+        held = side.holds_right
+        if (word := side.tick(now, self._channel.unread())) is not None:
+            self.send(messages.encode_message("right", **word._asdict()))
+        if side.holds_right is not held:
             self._say_change(now, taken=True)
-        self._beat = side.beat(node.serving, 0.0)
-        if self._theirs and side.watch.silent(now) >= LOST:
+        self._beat = side.heartbeat(node.serving, 0.0)
+        if self._theirs and side.monitor.silent(now) >= ABANDON_TIMEOUT_S:
             logger.warning("the {} process is silent: {} sessions lost", self._other, len(self._theirs))
             self._node.counters.add("handover.lost", len(self._theirs))
             self.end(list(self._theirs))
 
     @property
     def _other(self) -> str:
-        return "old" if self.newer else "new"
+        return "old" if self.is_newer else "new"
 
     def _say_change(self, now: float, taken: bool) -> None:
         assert self.side is not None
-        side, watch = self.side, self.side.watch
-        if side.holds and not (taken and watch.stalled(now)):  # it gives it back, or is told to end
+        side, monitor = self.side, self.side.monitor
+        if side.holds_right and not (taken and monitor.stalled(now)):  # it gives it back, or is told to end
             logger.info("the {} process gives back: accepting, generation {}", self._other, side.generation)
-        elif side.holds:
-            stood, silent = watch.stood * 1000, watch.silent(now) * 1000
+        elif side.holds_right:
+            stood, silent = monitor.loop_stalled_s * 1000, monitor.silent(now) * 1000
             self._node.counters.add("handover.taken_back")
             logger.warning(
                 "the {} process is silent for {:.0f} ms (its loop stood {:.0f} ms): accepting, generation {}",
@@ -153,10 +163,10 @@
     def _beat_on(self, sock: socket.socket) -> None:
         """The thread: a loop that is late in a storm is no process that has stopped."""
         try:
-            while not self._over.wait(BEAT):
+            while not self._over.wait(HEARTBEAT_INTERVAL_S):
                 beat = self._beat._replace(stood=max(0.0, time.monotonic() - self._turned - 2 * TURN))
                 with contextlib.suppress(BlockingIOError):  # full of what the other has not read
-                    sock.send(form.write("beat", **beat._asdict()))
+                    sock.send(messages.encode_message("beat", **beat._asdict()))
         except OSError:
             pass  # the end is seen where it is read
         finally:
@@ -183,8 +193,8 @@
             while True:
                 try:
                     await self._next()
-                except form.FormError as error:
-                    if not self.newer:
+                except messages.MessageError as error:
+                    if not self.is_newer:
                         raise
                     logger.warning("hand-over: {}", error)
                 except (KeyError, TypeError, ValueError, OSError) as error:
@@ -209,7 +219,7 @@
             try:
                 if self.side is not None:
                     self._turn()
-                if self.side is not None or not self.newer:
+                if self.side is not None or not self.is_newer:
                     self.tell()
                 self._node.settle()
             except Exception:  # a defect of ours; the right is worth more
@@ -223,54 +233,54 @@
             raise ConnectionResetError(f"the {self._other} process has gone")
         data, sockets = received
         try:
-            kind, values = form.read(data)
+            kind, values = messages.decode_message(data)
             if self.side is not None and self._hear_right(self.side, kind, values):
                 pass
             elif kind == "held":
-                for held in form.read_held(values):
+                for held in messages.decode_held(values):
                     self._count(held)
             elif kind == "ended":
                 self.end([str(each) for each in values.get("ids", ())])
             elif kind == "sent":
-                self._merge_sent(form.read_sent(values))
+                self._merge_sent(messages.decode_sent(values))
             elif kind == "got":
                 self._out -= 1
                 self._confirmed.set()
-            elif not self.newer:
-                raise form.FormError("a word out of turn")
+            elif not self.is_newer:
+                raise messages.MessageError("a word out of turn")
             elif kind == "known":
                 self._know(values)
             elif kind == "yours" and self._node.serving:
                 self.known.set()  # late: what was learnt here is newer, with what both sent to cold servers
             elif kind == "yours":
-                self._node.facade.learn(self._node.clock(), form.read_learnt(values.get("learnt")))
+                self._node.facade.learn(self._node.clock(), messages.decode_learnt(values.get("learnt")))
                 self.known.set()
             elif kind == "pass" and len(sockets) == 2:
                 if self.side is not None:
-                    self.send(form.write("got"))
-                self._go_on(form.read_passed(values), sockets.pop(0), sockets.pop(0))
+                    self.send(messages.encode_message("got"))
+                self._go_on(messages.decode_passed(values), sockets.pop(0), sockets.pop(0))
         finally:
             if self.side is not None and not self._channel.unread():
-                self.side.read_all()
+                self.side.mark_all_read()
             self._node.share_sockets()
             for sock in sockets:
                 sock.close()
 
-    def _hear_right(self, side: Side, kind: str, values: dict[str, Any]) -> bool:
-        now, held = time.monotonic(), side.holds
+    def _hear_right(self, side: RightState, kind: str, values: dict[str, Any]) -> bool:
+        now, held = time.monotonic(), side.holds_right
         try:
             if kind == "right":
-                side.hear_right(now, Right(int(values["generation"]), bool(values["newer"])))
+                side.receive_claim(now, RightClaim(int(values["generation"]), bool(values["newer"])))
             elif kind == "beat":
                 told = int(values["generation"]), bool(values["accepts"]), float(values["stood"])
-                side.hear_beat(now, Beat(*told, bool(values["leaves"])))
+                side.receive_heartbeat(now, Heartbeat(*told, bool(values["leaves"])))
             else:
                 return False
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise form.FormError(f"{kind}: {type(error).__name__}: {error}") from None
-        if side.holds is not held:
+            raise messages.MessageError(f"{kind}: {type(error).__name__}: {error}") from None
+        if side.holds_right is not held:
             self._say_change(now, taken=False)
-        self._beat = side.beat(self._node.serving, 0.0)
+        self._beat = side.heartbeat(self._node.serving, 0.0)
         return True
 
     def _know(self, values: dict[str, Any]) -> None:
@@ -281,11 +291,11 @@
                 return
             node.discovery.inherit(parse_address(values["discovery"]), listing)
         except (AttributeError, ConfigError, KeyError, TypeError) as error:
-            raise form.FormError(f"known: {type(error).__name__}: {error}") from None
+            raise messages.MessageError(f"known: {type(error).__name__}: {error}") from None
 
     # What the other holds.
 
-    def _count(self, held: form.Held) -> None:
+    def _count(self, held: messages.HeldConnection) -> None:
         """Danger: rule 1 wants its id taken, rules 3 and 4 and the sums want it counted where it is."""
         node = self._node
         if held.id in node.sessions or self._theirs.get(held.id) == held:
@@ -295,7 +305,7 @@
         self._theirs[held.id] = held
         node.ids.take(held.id)
         logger.debug("{} is the {} process's, at {}", held.id, self._other, held.server)
-        request = form.request_of(held, node.config.classes, node.config.tenants)
+        request = messages.request_of(held, node.config.classes, node.config.tenants)
         node.facade.report(node.clock(), Adopted(request, held.server))
 
     def end(self, names: list[str]) -> None:
@@ -307,11 +317,11 @@
                 self._node.facade.report(self._node.clock(), Ended(name, 0.0, Result.CANCELLED, True))
 
     @property
-    def elsewhere(self) -> int:
+    def remote_connections(self) -> int:
         """How many connections the other holds."""
         return len(self._theirs)
 
-    def _go_on(self, passed: form.Passed, client: socket.socket, server: socket.socket) -> None:
+    def _go_on(self, passed: messages.PassedConnection, client: socket.socket, server: socket.socket) -> None:
         node, held = self._node, passed.held
         if self._theirs.get(held.id) != held:
             self.end([held.id])
@@ -320,20 +330,20 @@
         if held.id in self._to_move:
             self._to_move.discard(held.id)
             passed = passed._replace(move=True)
-        request = form.request_of(held, node.config.classes, node.config.tenants)
+        request = messages.request_of(held, node.config.classes, node.config.tenants)
         try:
             wires = (
                 node.sockets.passed_on(client, passed.from_client),
                 node.sockets.passed_on(server, passed.from_server),
             )
         except LineError as error:
-            raise form.FormError(f"pass: {error}") from None
+            raise messages.MessageError(f"pass: {error}") from None
         node.go_on(Session.passed(node, passed, *wires, request))
 
     def move(self, name: str) -> bool:
         """The module wants a connection moved; whether it is one of the old process, then as soon as it is
         here."""
-        if not self.newer or name not in self._theirs:
+        if not self.is_newer or name not in self._theirs:
             return False
         self._to_move.add(name)
         return True
@@ -344,9 +354,9 @@
         """Say what this process knows and holds, to one that takes over."""
         node = self._node
         address, listing = node.discovery.whole()
-        self.send(form.write("known", discovery="{}:{}".format(*address), listing=listing))
+        self.send(messages.encode_message("known", discovery="{}:{}".format(*address), listing=listing))
         self.tell()
-        self.send(form.write("yours", learnt=form.write_learnt(node.facade.learnt())))
+        self.send(messages.encode_message("yours", learnt=messages.encode_learnt(node.facade.learnt())))
 
     def tell(self) -> None:
         """What has changed among the connections held since the last time."""
@@ -356,9 +366,9 @@
         moved = [name for name, where in places.items() if where and told.get(name) != where]
         new = [held for name in moved if (held := sessions[name].held()) is not None]
         if ended:
-            self.send(form.write("ended", ids=ended))
+            self.send(messages.encode_message("ended", ids=ended))
         self._tell_sent(time.monotonic())
-        for message in form.write_held(new):
+        for message in messages.encode_held(new):
             self.send(message)
         for name in ended:
             del told[name]
@@ -375,7 +385,7 @@
         new = [each for each in sorted(mine - self._sent) if math.isfinite(each[2])]
         self._sent = mine
         if new:
-            self.send(form.write("sent", servers=new))
+            self.send(messages.encode_message("sent", servers=new))
 
     def _merge_sent(self, told: list[tuple[str, float, float]]) -> None:
         learnt = self._node.facade.learnt()
@@ -391,7 +401,7 @@
         self._sent.update(told)
         self._node.facade.learn(self._node.clock(), learnt._replace(servers=servers))
 
-    def sent(self) -> bool:
+    def all_sent(self) -> bool:
         """Whether the other has taken everything.
 
         Danger: what is passed on faster than it is taken waits here, and would be cut off at the end."""
@@ -407,18 +417,20 @@
         if self.side is None:
             return True
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(BEAT):
+            async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
                 while self._out >= AT_ONCE:
                     self._confirmed.clear()
                     await self._confirmed.wait()
         return self._out < AT_ONCE
 
-    def pass_on(self, passed: form.Passed, client: socket.socket, server: socket.socket) -> bool:
+    def pass_on(
+        self, passed: messages.PassedConnection, client: socket.socket, server: socket.socket
+    ) -> bool:
         """Danger: a connection that the new process holds must not be told as ended here."""
-        if not self.serves:
+        if not self.can_receive_connections:
             return False
         try:
-            self._channel.send(form.write_passed(passed), client.dup(), server.dup())
+            self._channel.send(messages.encode_passed(passed), client.dup(), server.dup())
         except OSError as error:
             logger.warning("hand-over: {}", error)
             return False
--- a/switchhub/handover/form.py
+++ b/switchhub/handover/messages.py
@@ -6,7 +6,7 @@
     old -> new   listener (generation), or no (why); known (discovery, list), held (connections), yours (what
                  was learnt); then, as things change, pass (one connection)
                  join (form, listen, queue, born) comes first from an old one that has lost its newer process
-    both         held, ended (ids), sent (to cold servers), as things change; right, beat (`right.py`)
+    both         held, ended (ids), sent (to cold servers), as things change; right, beat (`accept_right.py`)
 
 One that speaks the form without the right says no generation and no queue; then it is as it was without.
 
@@ -24,16 +24,16 @@
 
 from switchhub.decision.interface import Learnt, Request, ServerLearnt
 
-FORM = 1
+PROTOCOL_VERSION = 1
 CHUNK = 64  # connections in one message
 MESSAGE_MAX = 1 << 17  # bytes
 
 
-class FormError(ValueError):
+class MessageError(ValueError):
     """A message that is none, or of an unknown form."""
 
 
-class Held(NamedTuple):
+class HeldConnection(NamedTuple):
     """A connection that the old process holds: being set up or standing."""
 
     id: str
@@ -46,10 +46,10 @@
     load: float
 
 
-class Passed(NamedTuple):
+class PassedConnection(NamedTuple):
     """A standing connection on its way: what the new process needs to go on with it."""
 
-    held: Held
+    held: HeldConnection
     from_client: bytes
     from_server: bytes  # read and not passed on yet: half a line
     asked: tuple[float, ...]  # when lines went that wait for an answer
@@ -59,46 +59,46 @@
     move: bool  # it is to be moved as soon as that can be
 
 
-def write(kind: str, **values: Any) -> bytes:
+def encode_message(kind: str, **values: Any) -> bytes:
     """A message."""
     return json.dumps({"is": kind, **values}, separators=(",", ":")).encode()
 
 
-def read(data: bytes) -> tuple[str, dict[str, Any]]:
+def decode_message(data: bytes) -> tuple[str, dict[str, Any]]:
     """A message's kind and its values."""
     try:
         values = json.loads(data)
         kind = values.pop("is")
     except (ValueError, AttributeError, KeyError, TypeError) as error:
-        raise FormError(f"no message: {type(error).__name__}: {error}") from None
+        raise MessageError(f"no message: {type(error).__name__}: {error}") from None
     if not isinstance(kind, str):
-        raise FormError("no message: its kind is no word")
+        raise MessageError("no message: its kind is no word")
     return kind, values
 
 
-def number(value: Any) -> int:
+def non_negative_int(value: Any) -> int:
     """A whole number that is not negative."""
     if not isinstance(value, int) or value < 0:
-        raise FormError(f"no number: {value!r}")
+        raise MessageError(f"no number: {value!r}")
     return value
 
 
-def write_held(connections: Iterable[Held]) -> list[bytes]:
+def encode_held(connections: Iterable[HeldConnection]) -> list[bytes]:
     """As many messages as it takes."""
     rows = [list(each) for each in connections]
-    return [write("held", connections=rows[at : at + CHUNK]) for at in range(0, len(rows), CHUNK)]
+    return [encode_message("held", connections=rows[at : at + CHUNK]) for at in range(0, len(rows), CHUNK)]
 
 
-def read_held(values: Mapping[str, Any]) -> list[Held]:
+def decode_held(values: Mapping[str, Any]) -> list[HeldConnection]:
     """The connections of such a message."""
     try:
         return [_held(row) for row in values["connections"]]
     except (KeyError, TypeError, ValueError) as error:
-        raise FormError(f"held: {type(error).__name__}: {error}") from None
+        raise MessageError(f"held: {type(error).__name__}: {error}") from None
 
 
-def _held(row: Any) -> Held:
-    one = Held(*row)
+def _held(row: Any) -> HeldConnection:
+    one = HeldConnection(*row)
     words = (one.id, one.class_name, one.tenant, one.server)
     if not all(isinstance(each, str) for each in words) or not one.id:
         raise ValueError("not a connection")
@@ -106,7 +106,7 @@
     return one._replace(hint=hint, load=float(one.load))
 
 
-def read_sent(values: Mapping[str, Any]) -> list[tuple[str, float, float]]:
+def decode_sent(values: Mapping[str, Any]) -> list[tuple[str, float, float]]:
     """What was sent to cold servers: which, when, how much."""
     try:
         told = [(str(server), float(at), float(push)) for server, at, push in values["servers"]]
@@ -114,21 +114,21 @@
             raise ValueError("not finite")
         return told
     except (KeyError, TypeError, ValueError) as error:
-        raise FormError(f"sent: {type(error).__name__}: {error}") from None
+        raise MessageError(f"sent: {type(error).__name__}: {error}") from None
 
 
-def write_passed(one: Passed) -> bytes:
+def encode_passed(one: PassedConnection) -> bytes:
     """One connection on its way."""
     values = one._asdict()
     for name in ("from_client", "from_server", "last"):
         values[name] = base64.b64encode(values[name]).decode()
-    return write("pass", **{**values, "held": list(one.held)})
+    return encode_message("pass", **{**values, "held": list(one.held)})
 
 
-def read_passed(values: Mapping[str, Any]) -> Passed:
+def decode_passed(values: Mapping[str, Any]) -> PassedConnection:
     """The same, read."""
     try:
-        return Passed(
+        return PassedConnection(
             held=_held(values["held"]),
             from_client=base64.b64decode(values["from_client"], validate=True),
             from_server=base64.b64decode(values["from_server"], validate=True),
@@ -139,22 +139,22 @@
             move=bool(values["move"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise FormError(f"pass: {type(error).__name__}: {error}") from None
+        raise MessageError(f"pass: {type(error).__name__}: {error}") from None
 
 
-def write_learnt(learnt: Learnt) -> list[Any]:
+def encode_learnt(learnt: Learnt) -> list[Any]:
     """What the module has learnt."""
     return [*learnt[:-1], [[*each[:-1], list(each.sent)] for each in learnt.servers]]
 
 
-def read_learnt(row: Any) -> Learnt:
+def decode_learnt(row: Any) -> Learnt:
     """The same, read."""
     try:
         hint, time, spread, strain_at, servers = row
         known = tuple(_server_learnt(each) for each in servers)
         return Learnt(float(hint), float(time), float(spread), float(strain_at), known)
     except (TypeError, ValueError) as error:
-        raise FormError(f"learnt: {type(error).__name__}: {error}") from None
+        raise MessageError(f"learnt: {type(error).__name__}: {error}") from None
 
 
 def _server_learnt(row: Any) -> ServerLearnt:
@@ -170,7 +170,7 @@
     )
 
 
-def request_of(held: Held, classes: Mapping[str, int], tenants: Mapping[str, int]) -> Request:
+def request_of(held: HeldConnection, classes: Mapping[str, int], tenants: Mapping[str, int]) -> Request:
     """The request as the module counts it. A class or tenant that this process does not know is its first."""
     index, tenant = classes.get(held.class_name, 0), tenants.get(held.tenant, 0)
     return Request(held.id, index, 0.0, tenant, held.load or held.hint, held.key, held.group)
--- a/switchhub/handover/giver.py
+++ b/switchhub/handover/sender.py
@@ -21,9 +21,9 @@
 
 from loguru import logger
 
-from switchhub.handover import form
+from switchhub.handover import messages
 from switchhub.handover.channel import Channel, new_socket
-from switchhub.handover.link import AT_ONCE, Link
+from switchhub.handover.link import AT_ONCE, ProcessLink
 
 if TYPE_CHECKING:
     from switchhub.net.listener import Listener
@@ -32,16 +32,16 @@
 TAKE_WITHIN = 6.0  # seconds that a new process has from its first word until it takes over
 SEEK = 0.25  # seconds between two looks at the meeting place by a process that accepts
 PATH_MAX = 107  # bytes of a Unix socket's path
-ROOM = 12  # descriptors set apart: the meeting place, channels, what travels
+RESERVED_DESCRIPTORS = 12  # descriptors set apart: the meeting place, channels, what travels
 
 
-def path_of(folder: str, name: str) -> str:
+def socket_path(folder: str, name: str) -> str:
     """Where the processes of this balancer meet; nothing where no path serves."""
     path = os.path.join(folder, f"switchhub-{quote(name, safe='')}.sock") if folder else ""
     return path if len(os.fsencode(path)) <= PATH_MAX else ""
 
 
-class Giver:
+class HandoverSender:
     """What this process does for the ones that come after it."""
 
     def __init__(self, node: Listener, path: str) -> None:
@@ -54,14 +54,14 @@
         self._attending: set[asyncio.Task[None]] = set()
 
     @property
-    def links(self) -> list[Link]:
+    def links(self) -> list[ProcessLink]:
         """The pairs with newer processes that have taken over, the newest last."""
-        return [each for each in self._node.links if not each.newer]
+        return [each for each in self._node.links if not each.is_newer]
 
     @property
-    def heir(self) -> Link | None:
+    def successor(self) -> ProcessLink | None:
         """The newer process that serves the address."""
-        return next((each for each in reversed(self.links) if each.gave_way), None)
+        return next((each for each in reversed(self.links) if each.yielded), None)
 
     async def run(self) -> None:
         """Offer, until cancelled."""
@@ -164,13 +164,17 @@
         try:
             listen = list(self._node.address())
             queue = self._node.queue()
-            channel.send(form.write("join", form=form.FORM, listen=listen, queue=queue, born=self._born))
+            channel.send(
+                messages.encode_message(
+                    "join", form=messages.PROTOCOL_VERSION, listen=listen, queue=queue, born=self._born
+                )
+            )
             async with asyncio.timeout(ANSWER_WITHIN):
                 kind, values = await self._hear(channel)
             if kind == "take":
                 self._start(self._follow(channel, values))
                 return True
-        except (form.FormError, OSError, TimeoutError) as error:
+        except (messages.MessageError, OSError, TimeoutError) as error:
             logger.debug("the one at the meeting place: {}: {}", type(error).__name__, error)
         channel.close()
         return False
@@ -180,23 +184,23 @@
         node = self._node
         try:
             if not channel.ours():
-                raise form.FormError("a process of another user")
+                raise messages.MessageError("a process of another user")
             async with asyncio.timeout(ANSWER_WITHIN):
                 kind, values = await self._hear(channel)
             host, port = node.config.listen
             meant = values.get("listen") in ([host, port], list(node.address()))
-            if kind == "join" and meant and values.get("form") == form.FORM:
+            if kind == "join" and meant and values.get("form") == messages.PROTOCOL_VERSION:
                 return await self._joined(channel, values)
-            if kind != "ask" or values.get("form") != form.FORM or not meant:
-                channel.send(form.write("no", why="another form or another address"))
-                raise form.FormError(f"{kind} {values}")
-            told = form.write("listener", generation=self._generation())
+            if kind != "ask" or values.get("form") != messages.PROTOCOL_VERSION or not meant:
+                channel.send(messages.encode_message("no", why="another form or another address"))
+                raise messages.MessageError(f"{kind} {values}")
+            told = messages.encode_message("listener", generation=self._generation())
             channel.send(told, node.listening_copy())
             async with asyncio.timeout(TAKE_WITHIN):
                 kind, values = await self._hear(channel)
             if kind != "take":
-                raise form.FormError(kind)
-        except (form.FormError, OSError, TimeoutError) as error:
+                raise messages.MessageError(kind)
+        except (messages.MessageError, OSError, TimeoutError) as error:
             logger.warning("hand-over: {}: {}", type(error).__name__, error)
             return channel.close()
         await self._follow(channel, values)
@@ -205,15 +209,15 @@
         """An older process has found us; it knows no more than we do."""
         born = values.get("born")
         if not isinstance(born, float):
-            raise form.FormError(f"join: {born!r}")
+            raise messages.MessageError(f"join: {born!r}")
         if born >= self._born:
-            channel.send(form.write("no", why="it is newer"))
+            channel.send(messages.encode_message("no", why="it is newer"))
             return channel.close()
         common = values.get("queue") == self._node.queue()
-        link = Link(self._node, channel, newer=True, beats=True, common=common)
+        link = ProcessLink(self._node, channel, is_newer=True, beats=True, shares_queue=common)
         link.known.set()
         logger.info("joined by an older process")
-        link.take(self._generation())
+        link.take_over(self._generation())
         with contextlib.suppress(ConnectionResetError):
             await link.follow()
 
@@ -225,16 +229,16 @@
         node = self._node
         try:
             if not node.lifecycle.yield_to():
-                raise form.FormError(f"take while {node.condition()}")
+                raise messages.MessageError(f"take while {node.condition()}")
             queue = values.get("queue")  # an older form has no queue of its own, and does not beat
             common = queue is None or queue == node.queue()
-            link = Link(node, channel, newer=False, beats=queue is not None, common=common)
-            link.give_way(form.number(values.get("generation", 0)))
+            link = ProcessLink(node, channel, is_newer=False, beats=queue is not None, shares_queue=common)
+            link.give_way(messages.non_negative_int(values.get("generation", 0)))
             logger.info("giving way with {} sessions", len(node.sessions))
             node.counters.add("handovers")
             link.introduce()
             await link.follow()
-        except (form.FormError, OSError) as error:
+        except (messages.MessageError, OSError) as error:
             logger.warning("hand-over: {}: {}", type(error).__name__, error)
         except Exception:  # a defect of ours; the next new process is still to be heard
             node.counters.add("errors")
@@ -250,21 +254,21 @@
             raise ConnectionResetError("the new process has gone")
         for sock in received[1]:
             sock.close()
-        return form.read(received[0])
+        return messages.decode_message(received[0])
 
-    def sent(self) -> bool:
+    def all_sent(self) -> bool:
         """Whether the new processes have taken everything that was passed on."""
-        flushed = [each.sent() for each in self.links]
+        flushed = [each.all_sent() for each in self.links]
         return all(flushed)
 
-    async def pass_all_on(self) -> None:
+    async def pass_on_all(self) -> None:
         """Part with every connection that stands, a few at a time; what comes up later goes the same way."""
         standing = [each for each in self._node.sessions.values() if each.up]
         for at in range(0, len(standing), AT_ONCE):
-            heir = self.heir
-            if heir is None or not heir.serves or not await heir.room():
+            successor = self.successor
+            if successor is None or not successor.can_receive_connections or not await successor.room():
                 return
-            await asyncio.gather(*(each.pass_on(heir.pass_on) for each in standing[at : at + AT_ONCE]))
+            await asyncio.gather(*(each.pass_on(successor.pass_on) for each in standing[at : at + AT_ONCE]))
 
     def close(self) -> None:
         """Nobody is offered anything any more."""
--- a/switchhub/handover/steal.py
+++ b/switchhub/handover/socket_recovery.py
@@ -24,7 +24,7 @@
 _LISTENING = "0A"  # in /proc/net/tcp
 
 
-def listening(pid: int, listen: tuple[str, int]) -> socket.socket | None:
+def copy_listening_socket(pid: int, listen: tuple[str, int]) -> socket.socket | None:
     """A copy of that process's listening socket at this address, if it has one and the platform lets us."""
     if pid <= 0:
         return None
@@ -36,7 +36,7 @@
     try:
         for name in sorted(os.listdir(f"/proc/{pid}/fd"), key=int):
             if os.readlink(f"/proc/{pid}/fd/{name}").startswith("socket:"):
-                sock = _copy(process, int(name))
+                sock = _copy_descriptor(process, int(name))
                 if _is_listening(sock, listen):
                     sock.setblocking(False)
                     return sock
@@ -48,7 +48,7 @@
     return None
 
 
-def _copy(process: int, number: int) -> socket.socket:
+def _copy_descriptor(process: int, number: int) -> socket.socket:
     libc = ctypes.CDLL(None, use_errno=True)
     copied = libc.syscall(_PIDFD_GETFD, process, number, 0)
     if copied < 0:
@@ -63,7 +63,7 @@
     return False
 
 
-def steer(sock: socket.socket) -> None:
+def direct_new_connections(sock: socket.socket) -> None:
     """Have every new client given to this socket, the last to listen at its address, where that can be."""
     host, port = sock.getsockname()
     local = f"{int.from_bytes(socket.inet_aton(host), 'little'):08X}:{port:04X}"
--- a/switchhub/lab/faults/launch.py
+++ b/switchhub/lab/faults/launch.py
@@ -3,7 +3,7 @@
 Owns: one wrapper around the hand-over's channel, in this process only. Must never: change what the program
 does; it only sends SIGSTOP to itself when the word in `LAB_STOP_AT` has just passed, once.
 
-`LAB_STOP_AT` is `send:WORD` or `hear:WORD`, with the words of `handover/form.py`; or `refuse:copy`, which
+`LAB_STOP_AT` is `send:WORD` or `hear:WORD`, with the words of `handover/messages.py`; or `refuse:copy`, which
 makes it a platform that lets no process copy another's socket.
 """
 
@@ -15,7 +15,7 @@
 import socket
 import sys
 
-from switchhub.handover import form, steal
+from switchhub.handover import messages, socket_recovery
 from switchhub.handover.channel import Channel
 
 
@@ -26,7 +26,7 @@
     left = [word]
 
     def stop(data: bytes) -> None:
-        if left and form.read(data)[0] == left[0]:
+        if left and messages.decode_message(data)[0] == left[0]:
             left.clear()
             os.kill(os.getpid(), signal.SIGSTOP)
 
@@ -44,7 +44,7 @@
         raise PermissionError(1, "refused here")
 
     if way == "refuse":
-        steal._copy = refuse
+        socket_recovery._copy_descriptor = refuse
     elif way == "send":
         Channel.send = sends  # type: ignore[method-assign]
     else:
--- a/switchhub/lab/pairs.py
+++ b/switchhub/lab/pairs.py
@@ -1,5 +1,5 @@
-"""The right to accept among two or three processes of one balancer, for the explorer: `handover.right` with
-channels, stops, wakes, deaths and late loops around it.
+"""The right to accept among two or three processes of one balancer, for the explorer:
+`handover.accept_right` with channels, stops, wakes, deaths and late loops around it.
 
 Owns: the model of what surrounds the pure part. Must never: decide who accepts. A step is `STEP` seconds; in
 each, every process that runs beats, and its main loop reads, looks and speaks, unless it is late.
@@ -11,13 +11,21 @@
 from collections.abc import Callable, Hashable, Iterator
 from itertools import product
 
-from switchhub.handover.right import BEAT, LATE, SILENT, Beat, Right, Side
+from switchhub.handover.accept_right import (
+    HEARTBEAT_INTERVAL_S,
+    MAX_TICK_GAP_S,
+    STALL_TIMEOUT_S,
+    Heartbeat,
+    RightClaim,
+    RightState,
+)
 
 STEP = 0.0625  # seconds, exact in binary
-NOBODY = SILENT + LATE + 2 * BEAT  # seconds that nobody may accept while one lives and its loop turns
+# seconds that nobody may accept while one lives and its loop turns
+NOBODY = STALL_TIMEOUT_S + MAX_TICK_GAP_S + 2 * HEARTBEAT_INTERVAL_S
 CALM = 40  # steps after the last trouble in which it has settled: a rest of one stall, and the ways there
 RUNS, STOPPED, DEAD = "runs", "stopped", "dead"
-Make = Callable[[float, bool], Side]
+Make = Callable[[float, bool], RightState]
 
 
 class Pair:
@@ -28,8 +36,8 @@
         self.make, self.budget = make, dict(budget)
         self.is_: list[str] = [RUNS] * count
         self.stood = [0.0] * count
-        self.sides: dict[tuple[int, int], Side] = {}  # (whose, towards whom)
-        self.lies: dict[tuple[int, int], list[Right | Beat]] = {}  # (from, to)
+        self.sides: dict[tuple[int, int], RightState] = {}  # (whose, towards whom)
+        self.lies: dict[tuple[int, int], list[RightClaim | Heartbeat]] = {}  # (from, to)
         self.alone, self.calm = 0, 0
         self.wrong: str | None = None
         self.above: dict[tuple[int, int], int] = {}  # the generation that each knew last
@@ -43,7 +51,7 @@
         other.sides = {}
         for key, side in self.sides.items():
             mine = other.sides[key] = copy.copy(side)
-            mine.watch = copy.copy(side.watch)
+            mine.monitor = copy.copy(side.monitor)
         other.lies = {key: list(told) for key, told in self.lies.items()}
         other.above, other.stalls, other.troubled = dict(self.above), dict(self.stalls), list(self.troubled)
         return other
@@ -51,7 +59,7 @@
     def take(self, older: int, newer: int) -> None:
         """The newer one takes over; what it says is read when the older one gets to it."""
         side = self.sides[newer, older] = self.make(self.now, True)
-        self.lies[newer, older] = [side.take(self.now, 0)]
+        self.lies[newer, older] = [side.take_over(self.now, 0)]
         self.lies[older, newer] = []
 
     def accepts(self, who: int) -> bool:
@@ -74,17 +82,17 @@
                 self._loop(who, looks_first=order[0] > order[-1])
             for (mine, other), side in self.sides.items():
                 if mine == who and self.is_[other] != DEAD:
-                    beat, lies = side.beat(True, self.stood[who]), self.lies[mine, other]
-                    if not lies or lies[-1] != beat:  # read at once, two alike are one
-                        lies.append(beat)
+                    heartbeat, lies = side.heartbeat(True, self.stood[who]), self.lies[mine, other]
+                    if not lies or lies[-1] != heartbeat:  # read at once, two alike are one
+                        lies.append(heartbeat)
         self.calm = min(CALM, self.calm + 1)
         self._look(bool(late))
 
     def _overtaken(self, who: int) -> None:
         """Before the loop turns: one that stood still must not accept before it has read."""
         for (mine, other), side in self.sides.items():
-            if mine == who and self.now - side.watch._turned > 2 * STEP and self.accepts(who):
-                told = [each for each in self.lies[other, mine] if isinstance(each, Right)]
+            if mine == who and self.now - side.monitor._last_tick > 2 * STEP and self.accepts(who):
+                told = [each for each in self.lies[other, mine] if isinstance(each, RightClaim)]
                 if any(each.generation > side.generation for each in told):
                     self.wrong = f"{who} accepts in a generation that is over"
 
@@ -98,12 +106,12 @@
                 if (who, mine) not in self.sides:
                     self.sides[who, mine] = self.make(self.now, False)
                 side = self.sides[who, mine]
-                if isinstance(word, Right):
-                    side.hear_right(self.now, word)
+                if isinstance(word, RightClaim):
+                    side.receive_claim(self.now, word)
                 else:
-                    side.hear_beat(self.now, word)
+                    side.receive_heartbeat(self.now, word)
             if (who, mine) in self.sides:
-                self.sides[who, mine].read_all()
+                self.sides[who, mine].mark_all_read()
             if self.is_[mine] == DEAD:
                 self.sides.pop((who, mine), None)
                 del self.lies[mine, other]
@@ -112,13 +120,18 @@
         newest = max(each for each in range(len(self.is_)) if self.is_[each] != DEAD)
         below = [side for (mine, other), side in self.sides.items() if mine == who and other > who]
         known = (newest, who) in self.sides or (who, newest) in self.sides
-        if who < newest and self.is_[newest] == RUNS and not known and all(side.holds for side in below):
+        if (
+            who < newest
+            and self.is_[newest] == RUNS
+            and not known
+            and all(side.holds_right for side in below)
+        ):
             self.take(who, newest)  # it finds whoever stands at the meeting place
 
     def _turn(self, who: int) -> None:
         for (mine, other), side in self.sides.items():
             if mine == who:
-                word = side.turn(self.now, unread=bool(self.lies[other, mine]))
+                word = side.tick(self.now, unread=bool(self.lies[other, mine]))
                 if word is not None:
                     self.lies[mine, other].append(word)
 
@@ -132,9 +145,12 @@
             if side.generation < self.above.get(key, 0):
                 self.wrong = f"a generation falls at {key}"
             self.above[key] = side.generation
-            if side.stalls > self.stalls.get(key, 0) and self.now - self.troubled[key[1]] > SILENT + 3 * BEAT:
+            if (
+                side.peer_stalls > self.stalls.get(key, 0)
+                and self.now - self.troubled[key[1]] > STALL_TIMEOUT_S + 3 * HEARTBEAT_INTERVAL_S
+            ):
                 self.wrong = f"{key[1]} taken for stalled, and was not"
-            self.stalls[key] = side.stalls
+            self.stalls[key] = side.peer_stalls
         if self.calm == CALM and running and len(accept) != 1:
             self.wrong = f"settled on {accept}"
         if self.calm == CALM and running and accept and accept != [max(running)]:
@@ -160,13 +176,13 @@
                 key,
                 rank[s.generation],
                 s.newer_holds,
-                ago(s.watch._turned),
-                ago(s.watch.heard),
-                s.watch.stood,
-                min(s.stalls, 2),
-                s._seen,
-                ago(s._steady),
-                s._blind,
+                ago(s.monitor._last_tick),
+                ago(s.monitor.last_heartbeat),
+                s.monitor.loop_stalled_s,
+                min(s.peer_stalls, 2),
+                s._peer_accepts,
+                ago(s._peer_steady_since),
+                s._must_read_first,
             )
             for key, s in sorted(self.sides.items())
         )
@@ -182,7 +198,7 @@
 class Pairs:
     """What may happen to them: so many stops, wakes, deaths and late turns of a loop, at any moment."""
 
-    def __init__(self, count: int, budget: dict[str, int], make: Make = Side) -> None:
+    def __init__(self, count: int, budget: dict[str, int], make: Make = RightState) -> None:
         self._count, self._make, self._budget = count, make, budget
 
     def first(self) -> Iterator[tuple[str, Pair]]:
--- a/switchhub/net/listener.py
+++ b/switchhub/net/listener.py
@@ -32,9 +32,9 @@
 from switchhub.net.session import EARLY, FINISH_WITHIN, Session, final_answer, read_request
 
 if TYPE_CHECKING:
-    from switchhub.handover.giver import Giver
-    from switchhub.handover.link import Link
-    from switchhub.handover.taker import Taker
+    from switchhub.handover.link import ProcessLink
+    from switchhub.handover.receiver import HandoverReceiver
+    from switchhub.handover.sender import HandoverSender
     from switchhub.management.server import Management
 
 BACKLOG = 4096
@@ -78,7 +78,7 @@
 class Listener:
     """One balancer."""
 
-    def __init__(self, config: Config, taker: Taker | None = None) -> None:
+    def __init__(self, config: Config, handover_receiver: HandoverReceiver | None = None) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.counters = Counters()
@@ -90,19 +90,19 @@
         self._pace: Pace | None = None  # of those that are given away now
         self._forced = math.inf  # when nobody is waited for any more
         self._management: Management | None = None
-        self._taker = taker
-        self._giver: Giver | None = None
+        self._handover_receiver = handover_receiver
+        self._handover_sender: HandoverSender | None = None
         self.pages: dict[str, Callable[[str, str], tuple[int, str]]] = {}  # further ones, for staff
-        self.links: list[Link] = []  # the pairs with other processes of this balancer
+        self.links: list[ProcessLink] = []  # the pairs with other processes of this balancer
         room = 0
         if config.management is not None:  # not imported where it is not wanted
-            from switchhub.handover import giver
+            from switchhub.handover import sender
             from switchhub.management import server
 
-            room = server.ROOM + giver.ROOM
+            room = server.ROOM + sender.RESERVED_DESCRIPTORS
             self._management = server.Management(self, config.management)
-            path = giver.path_of(os.environ.get("TMPDIR", ""), config.name)
-            self._giver = giver.Giver(self, path) if path else None
+            path = sender.socket_path(os.environ.get("TMPDIR", ""), config.name)
+            self._handover_sender = sender.HandoverSender(self, path) if path else None
         self.sockets = Sockets(config.sockets - room)
         self.sessions: dict[str, Session] = {}
         self.ids = Ids()
@@ -112,7 +112,7 @@
         self._count = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._stopping = asyncio.Event()
-        shared = None if taker is None else taker.sock
+        shared = None if handover_receiver is None else handover_receiver.listening_socket
         self.sock = self._bound() if shared is None else shared
         self.serving = False  # it listens, and its loops run
         self.waits = False  # for a client to accept
@@ -206,20 +206,25 @@
 
     async def run(self) -> None:
         """Serve until stopped."""
-        if self._taker is not None:
-            await self._taker.take(self)
+        if self._handover_receiver is not None:
+            await self._handover_receiver.take_over(self)
         self._chores()
         self.sock.listen(BACKLOG)
-        if self._taker is not None and self._taker.sock is None:
-            from switchhub.handover.steal import steer
+        if self._handover_receiver is not None and self._handover_receiver.listening_socket is None:
+            from switchhub.handover.socket_recovery import direct_new_connections
 
-            steer(self.sock)
+            direct_new_connections(self.sock)
         logger.info("{} listens on {}:{}", self.config.name, *self.address())
         duties = [self._take_in_all(), self._keep_house(), self.discovery.run()]
         if self._management is not None:
             duties.append(self._management.run())
         aside = [
-            each for each in (self._taker and self._taker.run(), self._giver and self._giver.run()) if each
+            each
+            for each in (
+                self._handover_receiver and self._handover_receiver.run(),
+                self._handover_sender and self._handover_sender.run(),
+            )
+            if each
         ]
         self.lifecycle.begin()
         self.serving = True
@@ -258,11 +263,11 @@
 
     # The pairs with other processes of this balancer (`handover.link`).
 
-    def join(self, link: Link) -> None:
+    def join(self, link: ProcessLink) -> None:
         """Another process of this balancer, that is older or newer."""
         self.links.append(link)
 
-    def part(self, link: Link) -> None:
+    def part(self, link: ProcessLink) -> None:
         """It has gone."""
         if link in self.links:
             self.links.remove(link)
@@ -281,14 +286,14 @@
     @property
     def holds(self) -> bool:
         """Whether it is this process's, and not only until another has said that it accepts."""
-        return all(each.holds for each in self.links)
+        return all(each.holds_right for each in self.links)
 
     def settle(self) -> None:
         """What this process is and whether it accepts, as the pairs have it: here and nowhere else."""
-        gave_way = any(each.gave_way for each in self.links)
-        if gave_way and self.lifecycle.phase in (Phase.READY, Phase.DRAINING):
+        yielded = any(each.yielded for each in self.links)
+        if yielded and self.lifecycle.phase in (Phase.READY, Phase.DRAINING):
             self.lifecycle.yield_to()
-        elif not gave_way and self.lifecycle.phase is Phase.GIVING_WAY:
+        elif not yielded and self.lifecycle.phase is Phase.GIVING_WAY:
             self.lifecycle.take_back()
             logger.warning("no new process serves, {} again", self.condition())
         if self._closed or self.accepts is self._accepting.is_set():
@@ -301,7 +306,7 @@
 
     def share_sockets(self) -> None:
         """The limit on descriptors is one for all processes of a balancer."""
-        self.sockets.share(2 * sum(each.elsewhere for each in self.links))
+        self.sockets.share(2 * sum(each.remote_connections for each in self.links))
 
     def queue(self) -> int:
         """Which accept queue this process has: the same number in each process that shares it."""
@@ -529,19 +534,26 @@
         ends = starts + given_time
         linger = max(LINGER, given_time * MOVE_FROM)  # the later, the more of the others are back
         # Danger: alone at its address it accepts as long as it has somebody; who finds it closed is lost.
-        lingers = starts + LINGER if self._giver is None else math.inf
-        giver, sent, given, asked = self._giver, True, False, time.monotonic()
+        lingers = starts + LINGER if self._handover_sender is None else math.inf
+        handover_sender, sent, given, asked = self._handover_sender, True, False, time.monotonic()
         if self._pace is None:  # one that drains goes on as it does
             self._pace = Pace(starts + linger, starts + given_time * MOVE_TO)
         while (now := self.loop.time()) < ends and (
             self.sessions or self._tasks or not sent or not (given or self._closed or now >= lingers)
         ):
-            if giver is not None:
-                await giver.pass_all_on()
-                sent = giver.sent()
-            heirs = giver.links if giver is not None else []
-            given = any(each.serves and each.common and each.heard_since(asked) for each in heirs)
-            if giver is not None and now >= starts + LINGER and not any(each.common for each in heirs):
+            if handover_sender is not None:
+                await handover_sender.pass_on_all()
+                sent = handover_sender.all_sent()
+            successors = handover_sender.links if handover_sender is not None else []
+            given = any(
+                each.can_receive_connections and each.shares_queue and each.heartbeat_since(asked)
+                for each in successors
+            )
+            if (
+                handover_sender is not None
+                and now >= starts + LINGER
+                and not any(each.shares_queue for each in successors)
+            ):
                 await self._empty_queue()
             await asyncio.sleep(TICK)
         if not given:
--- a/switchhub/net/session.py
+++ b/switchhub/net/session.py
@@ -26,7 +26,7 @@
 from switchhub.net.lines import Head, LineError, Wire, parked, parse_head
 
 if TYPE_CHECKING:
-    from switchhub.handover.form import Held, Passed
+    from switchhub.handover.messages import HeldConnection, PassedConnection
     from switchhub.net.listener import Listener
 
 EARLY = 25.0  # milliseconds before the client's deadline at which its answer is ready at the latest
@@ -192,22 +192,22 @@
 
     # From one process of this balancer to the next.
 
-    def held(self) -> Held | None:
+    def held(self) -> HeldConnection | None:
         """What a new process counts of it; nothing before a server is chosen."""
-        from switchhub.handover.form import Held
+        from switchhub.handover.messages import HeldConnection
 
         request = self.request
         if request is None or not self.place:
             return None
         load = self._loads.load or 0.0
-        return Held(
+        return HeldConnection(
             self.id, self._class, self._tenant, request.key, request.group, request.hint, self.place, load
         )
 
-    async def pass_on(self, send: Callable[[Passed, socket.socket, socket.socket], bool]) -> None:
+    async def pass_on(self, send: Callable[[PassedConnection, socket.socket, socket.socket], bool]) -> None:
         """Stop reading and send both sides to the new process. What is being written to a side that does not
         take it can't be parted with: its client is moved."""
-        from switchhub.handover.form import Passed
+        from switchhub.handover.messages import PassedConnection
 
         if not self.up or self._parting or self._done.done() or self._reader is None or self._down is None:
             return
@@ -222,7 +222,7 @@
             return
         if not (self._reader.done() and self._down.done()):
             return self.move(at_once=True)
-        passed = Passed(
+        passed = PassedConnection(
             held,
             client.rest().tobytes(),
             server.rest().tobytes(),
@@ -240,7 +240,7 @@
 
     @classmethod
     def passed(
-        cls, listener: Listener, passed: Passed, client: Wire, server: Wire, request: Request
+        cls, listener: Listener, passed: PassedConnection, client: Wire, server: Wire, request: Request
     ) -> Session:
         """A connection that a former process of this balancer held."""
         session = cls(listener, client)
--- /dev/null
+++ b/tests/test_accept_right.py
@@ -0,0 +1,146 @@
+"""The right to accept: every order of events among two and three processes, and mutants that it must find."""
+
+from __future__ import annotations
+
+import pytest
+
+from switchhub.handover import accept_right
+from switchhub.handover.accept_right import Heartbeat, PeerMonitor, RightClaim, RightState
+from switchhub.lab.explorer import explore
+from switchhub.lab.pairs import Pairs
+
+
+@pytest.mark.parametrize(
+    ("count", "budget", "most", "whole"),
+    [
+        (2, {"stop": 1, "wake": 1}, 100_000, True),
+        (2, {"stop": 1, "wake": 1, "kill": 1, "late": 2}, 5_000, False),
+        (2, {"stop": 2, "wake": 2}, 10_000, False),
+        (3, {"stop": 1, "wake": 1, "kill": 1}, 6_000, False),
+    ],
+)
+def test_never_nobody_for_long_and_it_settles_on_the_newest(
+    count: int, budget: dict[str, int], most: int, whole: bool
+) -> None:
+    found = explore(Pairs(count, budget), most, 400)
+    assert found.fault is None, found
+    assert found.whole is whole
+
+
+class Forgiving(PeerMonitor):
+    def stalled(self, now: float) -> bool:
+        return False
+
+
+class NeverSuspects(RightState):
+    def __init__(self, now: float, is_newer: bool) -> None:
+        super().__init__(now, is_newer)
+        self.monitor = Forgiving(now)
+
+
+class BlamesOthers(RightState):
+    """Judges before it has read what came while it stood still."""
+
+    def tick(self, now: float, unread: bool) -> RightClaim | None:
+        return super().tick(now, False)
+
+
+class Rash(RightState):
+    """Accepts before it has read what came while it stood still."""
+
+    @property
+    def accepts(self) -> bool:
+        return self.holds_right or not self._peer_accepts
+
+
+class Keeps(RightState):
+    """Never gives it back."""
+
+    def tick(self, now: float, unread: bool) -> RightClaim | None:
+        return None if self.holds_right and self.monitor.tick(now) >= 0 else super().tick(now, unread)
+
+
+class Trusting(RightState):
+    """The newer one does not look after the older one."""
+
+    def tick(self, now: float, unread: bool) -> RightClaim | None:
+        if self.is_newer:
+            self.monitor.tick(now)
+            return None
+        return super().tick(now, unread)
+
+
+@pytest.mark.parametrize(
+    ("mutant", "budget", "says"),
+    [
+        (NeverSuspects, {"stop": 1}, "nobody accepts"),
+        (BlamesOthers, {"stop": 1, "wake": 1}, "was not"),
+        (Rash, {"stop": 1, "wake": 1}, "a generation that is over"),
+        (Keeps, {"stop": 1, "wake": 1}, "settled on"),
+        (Trusting, {"stop": 2, "wake": 1}, "nobody accepts"),
+    ],
+)
+def test_each_guard_is_needed(mutant: type[RightState], budget: dict[str, int], says: str) -> None:
+    found = explore(Pairs(2, budget, mutant), 60_000, 400)
+    assert found.fault is not None and says in found.fault, found
+
+
+def test_one_who_stalls_often_waits_longer_each_time() -> None:
+    side, now = RightState(0.0, False), 0.0
+    waits: list[float] = []
+    side.receive_claim(now, RightClaim(1, True))
+    for _ in range(6):
+        while side.newer_holds:
+            now += 0.05
+            side.tick(now, False)
+        began = now
+        while not side.newer_holds:
+            now += 0.05
+            side.receive_heartbeat(now, Heartbeat(side.generation, True, 0.0, False))
+            side.tick(now, False)
+        waits.append(round(now - began, 1))
+    assert waits == pytest.approx([0.55, 1.05, 2.05, 4.05, 8.05, 8.05], abs=0.06)
+
+
+def test_a_loop_that_stands_while_its_process_beats_is_given_longer() -> None:
+    side = RightState(0.0, False)
+    side.receive_claim(0.0, RightClaim(1, True))
+    side.receive_heartbeat(0.01, Heartbeat(1, True, 0.0, False))
+    for step in range(1, 40):
+        now = step * 0.05
+        side.receive_heartbeat(now, Heartbeat(1, True, now, False))
+        if side.tick(now, False) is not None:
+            assert now == pytest.approx(accept_right.LOOP_STALL_TIMEOUT_S)
+            return
+    raise AssertionError("never")
+
+
+def test_one_that_leaves_gives_the_right_at_once_and_does_not_get_it_again() -> None:
+    side = RightState(0.0, False)
+    side.receive_claim(0.0, RightClaim(1, True))
+    side.receive_heartbeat(0.05, Heartbeat(1, True, 0.0, True))
+    assert side.tick(0.06, False) == RightClaim(60, False) and side.accepts
+    for step in range(2, 100):
+        side.receive_heartbeat(step * 0.05, Heartbeat(60, False, 0.0, True))
+        assert side.tick(step * 0.05, False) is None
+
+
+def test_a_word_of_a_generation_that_is_over_is_void_and_of_two_claims_the_newer_ones_stands() -> None:
+    older, newer = RightState(0.0, False), RightState(0.0, True)
+    newer.take_over(1.0, 0)
+    older.receive_claim(1.0, RightClaim(2000, False))
+    older.receive_claim(1.0, RightClaim(1000, True))
+    assert older.holds_right and older.generation == 2000
+    older.receive_claim(1.0, RightClaim(2000, True))
+    assert not older.holds_right
+    newer.receive_claim(1.0, RightClaim(1000, False))
+    assert newer.holds_right
+
+
+def test_a_holder_that_beats_and_does_not_accept_is_not_heard() -> None:
+    """It wakes and is stopped again: its thread beats before its loop turns."""
+    side = RightState(0.0, False)
+    side.receive_claim(0.0, RightClaim(1, True))
+    side.receive_heartbeat(0.0, Heartbeat(1, True, 0.0, False))
+    side.receive_heartbeat(0.25, Heartbeat(1, False, 0.0, False))
+    assert side.tick(0.31, False) is not None or side.tick(0.32, False) is not None
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,9 +17,9 @@
 from hypothesis import strategies as st
 
 from switchhub.decision.interface import Learnt, ServerLearnt
-from switchhub.handover import form
+from switchhub.handover import messages
 from switchhub.handover.channel import Channel
-from switchhub.handover.giver import Giver, path_of
+from switchhub.handover.sender import HandoverSender, socket_path
 from tests.rig import WITHIN, Client, Program, Server, ended, running, settings, started
 
 # The form.
@@ -27,7 +27,7 @@
 WORDS = st.text(max_size=8)
 FIGURES = st.floats(0, 1e12)
 HELD = st.builds(
-    form.Held,
+    messages.HeldConnection,
     id=st.text(min_size=1, max_size=8),
     class_name=WORDS,
     tenant=WORDS,
@@ -40,13 +40,13 @@
 
 
 @given(st.lists(HELD, max_size=200))
-def test_connections_come_back_as_they_went(held: list[form.Held]) -> None:
+def test_connections_come_back_as_they_went(held: list[messages.HeldConnection]) -> None:
     back = []
-    for message in form.write_held(held):
-        assert len(message) < form.MESSAGE_MAX
-        kind, values = form.read(message)
+    for message in messages.encode_held(held):
+        assert len(message) < messages.MESSAGE_MAX
+        kind, values = messages.decode_message(message)
         assert kind == "held"
-        back += form.read_held(values)
+        back += messages.decode_held(values)
     assert back == held
 
 
@@ -54,13 +54,13 @@
     HELD, st.binary(max_size=4096), st.binary(max_size=4096), st.lists(FIGURES, max_size=16), st.booleans()
 )
 def test_a_passed_connection_comes_back_as_it_went(
-    held: form.Held, up: bytes, down: bytes, asked: list[float], move: bool
+    held: messages.HeldConnection, up: bytes, down: bytes, asked: list[float], move: bool
 ) -> None:
-    passed = form.Passed(held, up, down, tuple(asked), 5.0, 7.5, b"UP", move)
-    message = form.write_passed(passed)
-    kind, values = form.read(message)
-    assert kind == "pass" and len(message) < form.MESSAGE_MAX
-    assert form.read_passed(values) == passed
+    passed = messages.PassedConnection(held, up, down, tuple(asked), 5.0, 7.5, b"UP", move)
+    message = messages.encode_passed(passed)
+    kind, values = messages.decode_message(message)
+    assert kind == "pass" and len(message) < messages.MESSAGE_MAX
+    assert messages.decode_passed(values) == passed
 
 
 def test_what_was_learnt_comes_back_as_it_went() -> None:
@@ -69,32 +69,34 @@
         ServerLearnt("s2", 0.1, 0, 0.0, 900.0, 5.0, ((1.0, 2.0), (3.0, 4.0))),
     )
     learnt = Learnt(12.5, 30.0, 4.0, float("-inf"), servers)
-    _, values = form.read(form.write("yours", learnt=form.write_learnt(learnt)))
-    assert form.read_learnt(values["learnt"]) == learnt
+    _, values = messages.decode_message(
+        messages.encode_message("yours", learnt=messages.encode_learnt(learnt))
+    )
+    assert messages.decode_learnt(values["learnt"]) == learnt
 
 
 @given(st.binary(max_size=200))
 def test_whatever_comes_is_a_message_or_said_to_be_none(data: bytes) -> None:
-    with contextlib.suppress(form.FormError):
-        form.read(data)
+    with contextlib.suppress(messages.MessageError):
+        messages.decode_message(data)
 
 
 @pytest.mark.parametrize(
     "values", [{}, {"connections": 3}, {"connections": [[1]]}, {"connections": [[""] * 8]}]
 )
 def test_connections_that_are_none_are_said_to_be_none(values: dict[str, Any]) -> None:
-    with pytest.raises(form.FormError):
-        form.read_held(values)
-    with pytest.raises(form.FormError):
-        form.read_passed(values)
-    with pytest.raises(form.FormError):
-        form.read_learnt(values)
+    with pytest.raises(messages.MessageError):
+        messages.decode_held(values)
+    with pytest.raises(messages.MessageError):
+        messages.decode_passed(values)
+    with pytest.raises(messages.MessageError):
+        messages.decode_learnt(values)
 
 
 def test_a_path_that_is_too_long_is_none() -> None:
-    assert path_of("", "n0") == ""
-    assert path_of("/tmp", "a/../b") == "/tmp/switchhub-a%2F..%2Fb.sock"
-    assert path_of("/tmp/" + "x" * 100, "n0") == ""
+    assert socket_path("", "n0") == ""
+    assert socket_path("/tmp", "a/../b") == "/tmp/switchhub-a%2F..%2Fb.sock"
+    assert socket_path("/tmp/" + "x" * 100, "n0") == ""
 
 
 # The program.
@@ -314,7 +316,7 @@
     async def play() -> None:
         async with running(tmp_path, Server("a"), management=True) as (old, _):
             client = await old.up()
-            path = path_of(str(tmp_path), "n0")
+            path = socket_path(str(tmp_path), "n0")
             before = os.stat(path).st_ino
             new = await beside(old)
             await old.logged("giving way")
@@ -342,25 +344,37 @@
     [
         [b"\xff"],
         [b"{}"],
-        [form.write("take")],
-        [form.write("ask", form=7, listen=["127.0.0.1", 1])],
-        [form.write("ask", form=form.FORM, listen=None)],
-        [form.write("ask", form=form.FORM, listen=["127.0.0.1", "PORT"]), b"[]"],
-        [form.write("ask", form=form.FORM, listen=["127.0.0.1", "PORT"]), form.write("take"), b"more"],
-        [form.write("join", form=form.FORM, listen=["127.0.0.1", "PORT"], born="x"), b"more"],
+        [messages.encode_message("take")],
+        [messages.encode_message("ask", form=7, listen=["127.0.0.1", 1])],
+        [messages.encode_message("ask", form=messages.PROTOCOL_VERSION, listen=None)],
+        [messages.encode_message("ask", form=messages.PROTOCOL_VERSION, listen=["127.0.0.1", "PORT"]), b"[]"],
+        [
+            messages.encode_message("ask", form=messages.PROTOCOL_VERSION, listen=["127.0.0.1", "PORT"]),
+            messages.encode_message("take"),
+            b"more",
+        ],
+        [
+            messages.encode_message(
+                "join", form=messages.PROTOCOL_VERSION, listen=["127.0.0.1", "PORT"], born="x"
+            ),
+            b"more",
+        ],
         *(
             [
-                form.write("ask", form=form.FORM, listen=["127.0.0.1", "PORT"]),
-                form.write("take", **take),
+                messages.encode_message("ask", form=messages.PROTOCOL_VERSION, listen=["127.0.0.1", "PORT"]),
+                messages.encode_message("take", **take),
                 word,
             ]
             for take, word in (
                 ({"queue": 7, "generation": -1}, b""),
-                ({"queue": 7, "generation": 5}, form.write("right", generation=1e400, newer=1)),
-                ({"queue": 7, "generation": 5}, form.write("beat", generation=None)),
-                ({"queue": 7, "generation": 5}, form.write("sent", servers=[["a", "b"]])),
-                ({"queue": 7, "generation": 5}, form.write("sent", servers=[["a", 1.0, float("nan")]])),
-                ({"queue": 7, "generation": 5}, form.write("yours")),
+                ({"queue": 7, "generation": 5}, messages.encode_message("right", generation=1e400, newer=1)),
+                ({"queue": 7, "generation": 5}, messages.encode_message("beat", generation=None)),
+                ({"queue": 7, "generation": 5}, messages.encode_message("sent", servers=[["a", "b"]])),
+                (
+                    {"queue": 7, "generation": 5},
+                    messages.encode_message("sent", servers=[["a", 1.0, float("nan")]]),
+                ),
+                ({"queue": 7, "generation": 5}, messages.encode_message("yours")),
             )
         ),
     ],
@@ -370,7 +384,7 @@
         async with running(tmp_path, Server("a"), management=True) as (old, _):
             client = await old.up()
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
-                stranger.connect(path_of(str(tmp_path), "n0"))
+                stranger.connect(socket_path(str(tmp_path), "n0"))
                 for word in words:
                     stranger.send(word.replace(b'"PORT"', str(old.port).encode()))
                 await old.logged("hand-over: ")
@@ -424,7 +438,7 @@
             client = await old.up()
             folder = tmp_path / ("x" * 120 if there == "long" else "other")
             folder.mkdir()
-            path = path_of(str(folder), "n0")
+            path = socket_path(str(folder), "n0")
             other = None
             if there == "stale":
                 old_form(path).close()
@@ -439,16 +453,18 @@
                     theirs, _ = await loop.sock_accept(sock)
                     await loop.sock_recv(theirs, 4096)  # closed unread, the other hears a reset and no answer
                     if there == "no number":  # danger: what it says must not end the one that starts
-                        told = form.write("listener", generation=-1)
+                        told = messages.encode_message("listener", generation=-1)
                         socket.send_fds(theirs, [told], [other.fileno()])
                     else:
-                        theirs.send(form.write("no", why="another form"))
+                        theirs.send(messages.encode_message("no", why="another form"))
                     theirs.close()
 
                 told = asyncio.create_task(answer(other))
             async with upgrade(old, TMPDIR=str(folder)) as new:
                 if other is not None:
-                    await new.logged("FormError: no" if there == "other form" else "FormError: no number: -1")
+                    await new.logged(
+                        "MessageError: no" if there == "other form" else "MessageError: no number: -1"
+                    )
                 kept = [await new.up() for _ in range(6)]
                 old.process.terminate()
                 assert await client.end() == b"MOVE\r\n"
@@ -468,17 +484,17 @@
 def test_a_file_that_is_no_socket_stays_and_a_stale_one_is_replaced(tmp_path: Path) -> None:
     path = tmp_path / "meet"
     path.write_text("mine")
-    giver = Giver(None, str(path))  # type: ignore[arg-type]
+    sender = HandoverSender(None, str(path))  # type: ignore[arg-type]
     with pytest.raises(OSError, match="expected a socket"):
-        giver._offer()
+        sender._offer()
     assert path.read_text() == "mine"
     path.unlink()
     old_form(str(path)).close()
-    giver._offer()
+    sender._offer()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.connect(str(path))
-    Giver(None, str(path))._offer()  # type: ignore[arg-type]
-    giver.close()
+    HandoverSender(None, str(path))._offer()  # type: ignore[arg-type]
+    sender.close()
     assert path.exists()  # by now another's
 
 
@@ -596,8 +612,12 @@
             client = await first.up()
             async with upgrade(first) as second:
                 await gone(first)
-                asks = Channel.to(path_of(str(tmp_path), "n0"))
-                asks.send(form.write("ask", form=form.FORM, listen=["127.0.0.1", second.port]))
+                asks = Channel.to(socket_path(str(tmp_path), "n0"))
+                asks.send(
+                    messages.encode_message(
+                        "ask", form=messages.PROTOCOL_VERSION, listen=["127.0.0.1", second.port]
+                    )
+                )
                 received = await asks.receive()
                 assert received is not None and len(received[1]) == 1
                 await second.up()
