--- a/switchhub/__main__.py
+++ b/switchhub/__main__.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from switchhub.handover.receiver import HandoverReceiver
-    from switchhub.peers.node import Node
+    from switchhub.peers.node import PeerNode
 
 FEWEST = FOR_FILES + 8  # descriptors with which a balancer can serve anybody
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
@@ -42,30 +42,30 @@
     return await HandoverReceiver.find(path, config.listen) if path else None
 
 
-def peers(config: Config) -> Node | None:
+def peers(config: Config) -> PeerNode | None:
     """This balancer among others, where an operator file says so; else nothing of it is imported."""
     path = os.environ.get("SWITCHHUB_OPERATOR", "")
     if not path:
         return None
     try:
-        from switchhub.operator_file import read
+        from switchhub.operator_file import read_operator_file
     except ModuleNotFoundError as error:
         raise ConfigError(
             f"an operator file needs {error.name}: pip install -r requirements-peers.txt"
         ) from None
-    told = read(Path(path))
+    told = read_operator_file(Path(path))
     if told.peers is None:
         return None
-    from switchhub.peers.node import Node
+    from switchhub.peers.node import PeerNode
 
-    return Node(told.peers, config.name, told.leases)
+    return PeerNode(told.peers, config.name, told.leases)
 
 
-async def serve(config: Config, node: Node | None) -> None:
+async def serve(config: Config, node: PeerNode | None) -> None:
     """Run one balancer until a signal stops it."""
     listener = Listener(config, await handover_receiver(config))
     if node is not None:
-        listener.lifecycle.followers.append(node.follow)
+        listener.lifecycle.followers.append(node.on_phase_change)
         listener.pages.update(node.pages())
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/switchhub/lab/circle.py
+++ b/switchhub/lab/circle.py
@@ -12,11 +12,18 @@
 from collections.abc import Callable, Hashable, Iterator
 
 from switchhub.lab.explorer import spoilt
-from switchhub.membership.core import Membership, Options, Send
 from switchhub.membership.messages import State
+from switchhub.membership.swim import Membership, Options, Send
 
 STEP = 0.0625  # seconds, exact in binary
-OPTIONS = Options(period=0.25, timeout=0.125, suspicion=2.0, call=0.5, whole=1e6, remember=1e6)
+OPTIONS = Options(
+    probe_interval=0.25,
+    probe_timeout=0.125,
+    suspicion_mult=2.0,
+    reconnect_interval=0.5,
+    full_state_interval=1e6,
+    retention=1e6,
+)
 APART = (1, 5, 12, 40)  # steps between a crash and the return: before it is missed, suspected, buried
 LONG = 6  # steps that a datagram may be late
 SETTLED = 56  # steps after the last trouble in which all agree with what is
@@ -41,9 +48,9 @@
         for each in self.cores.values():
             for other in self.cores.values():
                 if each is not other:
-                    each._apply(other._self_news(), 0.0, "known")
-            for name in list(each._told):
-                each._tell(name, None)
+                    each._apply(other._own_update(), 0.0, "known")
+            for name in list(each._transmit_counts):
+                each._set_transmit_count(name, None)
             each.changes.clear()
 
     def _new(self, name: str, life: int) -> Membership:
@@ -121,8 +128,8 @@
         living = {name for name in self.cores if name != self.down}
         for name in living:
             core = self.cores[name]
-            alive = {name, *core.others(State.ALIVE)}
-            if alive != living or core.others(State.SUSPECT):
+            alive = {name, *core.names_in(State.ALIVE)}
+            if alive != living or core.names_in(State.SUSPECT):
                 self.wrong = f"{name} holds {sorted(alive)} alive, and {sorted(living)} are"
 
 
--- a/switchhub/lab/members.py
+++ b/switchhub/lab/members.py
@@ -11,8 +11,8 @@
 from typing import Any, NamedTuple
 
 from switchhub.lab.virtual import Net
-from switchhub.membership.core import Change, Membership, Options
 from switchhub.membership.messages import State
+from switchhub.membership.swim import Change, Membership, Options
 
 Make = Callable[..., Membership]
 
@@ -78,9 +78,9 @@
         for each in self.all.values():
             for other in self.all.values():
                 if other is not each:
-                    each._apply(other._self_news(), self.now, "known at the start")
-            for name in list(each._told):
-                each._tell(name, None)
+                    each._apply(other._own_update(), self.now, "known at the start")
+            for name in list(each._transmit_counts):
+                each._set_transmit_count(name, None)
             each.changes.clear()
 
     def _changed(self, key: str) -> None:
@@ -90,12 +90,12 @@
 
     def living(self) -> list[Membership]:
         """Those that run."""
-        return [each for key, each in self.all.items() if key not in self.down and not each.left]
+        return [each for key, each in self.all.items() if key not in self.down and not each.has_left]
 
     def agreed(self) -> bool:
         """Whether each that runs holds exactly those that run to be alive."""
         names = {each.name for each in self.living()}
-        return all({each.name, *each.others(State.ALIVE)} == names for each in self.living())
+        return all({each.name, *each.names_in(State.ALIVE)} == names for each in self.living())
 
 
 def death(count: int, seed: int, make: Make = Membership, **trouble: Any) -> dict[str, float]:
--- a/switchhub/lab/virtual.py
+++ b/switchhub/lab/virtual.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any, Generic, Protocol, TypeVar
 
-from switchhub.membership.messages import Whole
-from switchhub.peers.form import DATAGRAM, pack
+from switchhub.membership.messages import FullState
+from switchhub.peers.codec import MAX_DATAGRAM_BYTES, pack
 
 LATENCY = 0.0005  # seconds one way at the median
 CONNECT = 3  # ways that a connection costs
@@ -74,11 +74,11 @@
         for address, message in out:
             to = address.removeprefix("a-")
             size = len(pack("lab", message))
-            if isinstance(message, Whole):
+            if isinstance(message, FullState):
                 self.whole += size
                 ways = CONNECT
             else:
-                assert size <= DATAGRAM, (size, message)
+                assert size <= MAX_DATAGRAM_BYTES, (size, message)
                 self.sent += 1
                 self.bytes += size
                 ways = 1
--- a/switchhub/leases/asker.py
+++ b/switchhub/leases/asker.py
@@ -29,7 +29,7 @@
     Who,
 )
 from switchhub.leases.rules import JUMP, Terms, mark
-from switchhub.membership.lot import Lot
+from switchhub.membership.random_source import RandomSource
 
 WITHIN = 0.3  # seconds in which the voters' answers are due
 ONCE_MORE = 0.15  # seconds after which who has not answered is told once more: one loss costs no whole try
@@ -107,7 +107,7 @@
         self.events: list[Event] = []
         self.wants: dict[str, Want] = {}
         self.known: dict[str, int] = {}  # the highest token heard of, by name
-        self._lot = Lot(seed)
+        self._lot = RandomSource(seed)
         self._seq = 0
         self._gone: list[Gone] = []
         self._renew_at = math.inf
@@ -224,7 +224,7 @@
         """Try again after that, and a lot: candidates that wait alike meet again and again."""
         want.tries += 1
         want.asking, want.again, want.told = 0, math.inf, {}
-        want.at = now + wait + self._lot.part() * AGAIN * min(8, want.tries)
+        want.at = now + wait + self._lot.random() * AGAIN * min(8, want.tries)
 
     def _ask(self, want: Want, now: float) -> None:
         self._seq += 1
--- a/switchhub/leases/messages.py
+++ b/switchhub/leases/messages.py
@@ -22,27 +22,27 @@
 
 from msgspec import Meta, Struct
 
-from switchhub.membership.messages import Count, Place
+from switchhub.membership.messages import HostPort, UInt32
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Token = Annotated[int, Meta(ge=0, lt=2**62)]
 Length = Annotated[int, Meta(ge=1, le=600_000)]  # milliseconds
 Word = Annotated[str, Meta(max_length=64)]
-Electorate = tuple[Count, Count]  # `rules.Terms.electorate`
+Electorate = tuple[UInt32, UInt32]  # `rules.Terms.electorate`
 
 
 class Who(Struct, frozen=True, array_like=True):
     """One life of one balancer: a process that was started again holds nothing of what it held."""
 
     name: Name
-    life: Count
-    address: Place
+    life: UInt32
+    address: HostPort
 
 
 class Ask(Struct, frozen=True, array_like=True, tag=16):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     lease: Name
     known: Token  # the highest token that the asker knows of
@@ -51,7 +51,7 @@
 class Told(Struct, frozen=True, array_like=True, tag=17):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     lease: Name
     votes: bool  # whether this voter votes yet
@@ -63,7 +63,7 @@
 class Bid(Struct, frozen=True, array_like=True, tag=18):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     lease: Name
     token: Token
@@ -74,7 +74,7 @@
 class Answer(Struct, frozen=True, array_like=True, tag=19):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     lease: Name
     token: Token
@@ -86,7 +86,7 @@
 class Renew(Struct, frozen=True, array_like=True, tag=20):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     length_ms: Length
     electorate: Electorate
@@ -95,16 +95,16 @@
 class Renewed(Struct, frozen=True, array_like=True, tag=21):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
-    count: Count
+    count: UInt32
     digest: Annotated[int, Meta(ge=0, lt=2**62)]
 
 
 class Drop(Struct, frozen=True, array_like=True, tag=22):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     lease: Name
     token: Token
@@ -114,14 +114,14 @@
 class Dropped(Struct, frozen=True, array_like=True, tag=23):
     """Heard."""
 
-    seq: Count
+    seq: UInt32
     source: Who
 
 
 class Pass(Struct, frozen=True, array_like=True, tag=24):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     lease: Name
     token: Token
@@ -130,14 +130,14 @@
 class Learn(Struct, frozen=True, array_like=True, tag=25):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
 
 
 class Learnt(Struct, frozen=True, array_like=True, tag=26):
     """See above."""
 
-    seq: Count
+    seq: UInt32
     source: Who
     top: Token
     remembers: bool
--- a/switchhub/leases/service.py
+++ b/switchhub/leases/service.py
@@ -17,7 +17,7 @@
 from switchhub.leases.messages import Answer, Dropped, Message, Pass, Renewed, Send, Told, Who
 from switchhub.leases.rules import Terms
 from switchhub.leases.voter import Voter
-from switchhub.membership.lot import Lot
+from switchhub.membership.random_source import RandomSource
 
 KEEPS = 2.0  # seconds
 TOLD = 1800  # milliseconds at most that somebody outside is told to have left: less than KEEPS by all drift
@@ -47,7 +47,7 @@
         self.said: list[str] = []  # for the log
         self._keeps: dict[str, float] = {}  # until when names are wanted from outside
         self._slots: dict[str, int] = {}  # of counted names that are wanted
-        self._lot = Lot(seed)
+        self._lot = RandomSource(seed)
         self._ending: dict[str, tuple[str, str]] = {}  # kept names to be let go, and their heirs
 
     def keep(self, lease: str, now: float) -> None:
@@ -61,7 +61,7 @@
     def want(self, name: str, now: float) -> None:
         """A part of this balancer wants it, until it is released."""
         if (most := self.terms.most(name)) and name not in self._slots:
-            self._slots[name] = self._lot.below(most)
+            self._slots[name] = self._lot.randrange(most)
         self.asker.want(self.lease(name), now)
         self._gather(now)
 
--- a/switchhub/membership/messages.py
+++ b/switchhub/membership/messages.py
@@ -15,11 +15,11 @@
 
 from msgspec import Meta, Struct
 
-MOST = 2**62  # the greatest incarnation that is read
+MAX_INCARNATION = 2**62  # the greatest incarnation that is read
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Place = Annotated[str, Meta(min_length=3, max_length=64)]  # HOST:PORT
-Count = Annotated[int, Meta(ge=0, lt=2**32)]
-Incarnation = Annotated[int, Meta(ge=0, le=MOST)]
+HostPort = Annotated[str, Meta(min_length=3, max_length=64)]  # HOST:PORT
+UInt32 = Annotated[int, Meta(ge=0, lt=2**32)]
+Incarnation = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
 
 
 class State(IntEnum):
@@ -31,17 +31,17 @@
     LEFT = 3
 
 
-class News(Struct, frozen=True, array_like=True):
+class MemberUpdate(Struct, frozen=True, array_like=True):
     """What is said of one member."""
 
     name: Name
-    address: Place
-    life: Count  # drawn by each process at its start: tells two processes with one name apart
+    address: HostPort
+    life: UInt32  # drawn by each process at its start: tells two processes with one name apart
     incarnation: Incarnation  # raised by the member alone
     state: State
     by: Annotated[str, Meta(max_length=64)]  # who says so first: a suspicion's witness
 
-    def above(self, other: News) -> bool:
+    def supersedes(self, other: MemberUpdate) -> bool:
         """Whether this is the later word."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
@@ -50,58 +50,58 @@
     """Who sends."""
 
     name: Name
-    address: Place
-    life: Count
+    address: HostPort
+    life: UInt32
     incarnation: Incarnation
     age: Annotated[int, Meta(ge=0, lt=2**53)]  # milliseconds since its start, by its own clock
 
-    def news(self) -> News:
+    def as_update(self) -> MemberUpdate:
         """It lives, by its own word."""
-        return News(self.name, self.address, self.life, self.incarnation, State.ALIVE, self.name)
+        return MemberUpdate(self.name, self.address, self.life, self.incarnation, State.ALIVE, self.name)
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=1):
     """Is the one of this name there? An empty name means anybody."""
 
-    seq: Count
+    seq: UInt32
     source: Source
     target: Annotated[str, Meta(max_length=64)]
-    news: Annotated[tuple[News, ...], Meta(max_length=64)]
+    updates: Annotated[tuple[MemberUpdate, ...], Meta(max_length=64)]
     bare: bool = False  # answer in few bytes: larger datagrams may not get through
 
 
-class Indirect(Struct, frozen=True, array_like=True, tag=2):
+class IndirectPing(Struct, frozen=True, array_like=True, tag=2):
     """Ask that one for me."""
 
-    seq: Count
+    seq: UInt32
     source: Source
     target: Name
-    address: Place
-    news: Annotated[tuple[News, ...], Meta(max_length=64)]
+    address: HostPort
+    updates: Annotated[tuple[MemberUpdate, ...], Meta(max_length=64)]
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=3):
     """Yes; `source` is the one that was asked, whoever passes it on."""
 
-    seq: Count
+    seq: UInt32
     source: Source
-    news: Annotated[tuple[News, ...], Meta(max_length=64)]
+    updates: Annotated[tuple[MemberUpdate, ...], Meta(max_length=64)]
     via: Annotated[str, Meta(max_length=64)] = ""  # who passes it on; a process of before does not say
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
     """I am here and asked, and have heard nothing yet."""
 
-    seq: Count
+    seq: UInt32
     source: Source
 
 
-class Whole(Struct, frozen=True, array_like=True, tag=5):
+class FullState(Struct, frozen=True, array_like=True, tag=5):
     """All that I believe, over a connection; `wants` the same in return."""
 
     source: Source
-    members: Annotated[tuple[News, ...], Meta(max_length=4096)]
+    members: Annotated[tuple[MemberUpdate, ...], Meta(max_length=4096)]
     wants: bool
 
 
-Message = Ping | Indirect | Ack | Nack | Whole
+Message = Ping | IndirectPing | Ack | Nack | FullState
--- a/switchhub/membership/lot.py
+++ b/switchhub/membership/random_source.py
@@ -13,7 +13,7 @@
 _MASK = (1 << 64) - 1
 
 
-class Lot:
+class RandomSource:
     """Draws."""
 
     def __init__(self, seed: int) -> None:
@@ -26,29 +26,29 @@
         mixed = ((mixed ^ (mixed >> 27)) * 0x94D049BB133111EB) & _MASK
         return mixed ^ (mixed >> 31)
 
-    def part(self) -> float:
+    def random(self) -> float:
         """From 0 up to 1."""
         return (self._next() >> 11) / (1 << 53)
 
-    def below(self, count: int) -> int:
+    def randrange(self, count: int) -> int:
         """From 0 to count - 1; the bias, under count / 2^64, is of no account here."""
         return self._next() % count
 
-    def one(self, among: Sequence[T]) -> T:
+    def choice(self, among: Sequence[T]) -> T:
         """One of them."""
-        return among[self.below(len(among))]
+        return among[self.randrange(len(among))]
 
     def shuffled(self, among: Sequence[T]) -> list[T]:
         """All of them, in any order (Fisher and Yates)."""
         mixed = list(among)
         for at in range(len(mixed) - 1, 0, -1):
-            other = self.below(at + 1)
+            other = self.randrange(at + 1)
             mixed[at], mixed[other] = mixed[other], mixed[at]
         return mixed
 
-    def some(self, among: Sequence[T], count: int) -> list[T]:
+    def sample(self, among: Sequence[T], count: int) -> list[T]:
         """So many of them, or all."""
         if len(among) <= count:
             return list(among)
         left = list(among)
-        return [left.pop(self.below(len(left))) for _ in range(count)]
+        return [left.pop(self.randrange(len(left))) for _ in range(count)]
--- a/switchhub/membership/core.py
+++ b/switchhub/membership/swim.py
@@ -5,7 +5,7 @@
 do I/O, read a clock, or bury anybody because of its own lateness.
 
 Each period one member, in a shuffled order, is asked (`Ping`). Who does not answer in time is asked once
-more in few bytes, and through some others (`Indirect`). Who has not answered at the period's end is
+more in few bytes, and through some others (`IndirectPing`). Who has not answered at the period's end is
 suspected, which the others hear in passing (`news`, each so many times), and is buried after a time that
 shrinks with each further witness, unless it says itself that it lives, in a higher incarnation. The dead are
 remembered and called on, so that a split mends, and whole beliefs are exchanged on joining and now and then.
@@ -21,18 +21,18 @@
 from itertools import chain
 from typing import NamedTuple
 
-from switchhub.membership.lot import Lot
 from switchhub.membership.messages import (
     Ack,
-    Indirect,
+    FullState,
+    IndirectPing,
+    MemberUpdate,
     Message,
     Nack,
-    News,
     Ping,
     Source,
     State,
-    Whole,
 )
+from switchhub.membership.random_source import RandomSource
 
 HEALTH_MAX = 5  # how unwell a balancer may hold itself to be: its times are 1 + so many times as long
 ROOM = 1000  # bytes of news in a datagram, by `_weight`
@@ -51,19 +51,19 @@
 class Options:
     """Seconds, and how many."""
 
-    period: float = 0.25  # between two members asked
-    timeout: float = 0.1  # in which an answer is due before others are sent
-    indirect: int = 3  # others that are sent
-    spread: int = 4  # times log10 of the members that each news is told
-    suspicion: float = 4.0  # periods times log10 of the members that a suspicion lasts at least
-    suspicion_most: float = 2.0  # times as long, as long as there is one witness
-    remember: float = 600.0  # the dead and the left
-    call: float = 1.0  # between two calls on one of the dead, or on a seed
-    whole: float = 10.0  # between two exchanges of all beliefs
+    probe_interval: float = 0.25  # between two members asked
+    probe_timeout: float = 0.1  # in which an answer is due before others are sent
+    indirect_probes: int = 3  # others that are sent
+    retransmit_mult: int = 4  # times log10 of the members that each news is told
+    suspicion_mult: float = 4.0  # periods times log10 of the members that a suspicion lasts at least
+    suspicion_max_mult: float = 2.0  # times as long, as long as there is one witness
+    retention: float = 600.0  # the dead and the left
+    reconnect_interval: float = 1.0  # between two calls on one of the dead, or on a seed
+    full_state_interval: float = 10.0  # between two exchanges of all beliefs
 
 
 class Send(NamedTuple):
-    """A message to an address; a `Whole` goes over a connection."""
+    """A message to an address; a `FullState` goes over a connection."""
 
     address: str
     message: Message
@@ -84,11 +84,11 @@
 class Member:
     """One of the others."""
 
-    news: News
+    latest: MemberUpdate
     since: float
     why: str
     begun: float = 0.0  # of the suspicion
-    bury_at: float = math.inf
+    dead_at: float = math.inf
     witnesses: tuple[str, ...] = ()
     hearsay: bool = False  # never known to live here, and so not passed on
     via: str = ""  # who reached it for us when we did not
@@ -100,8 +100,8 @@
 
     seq: int
     name: str
-    again_at: float
-    others: int | None = None  # how many were sent, once they were
+    retry_at: float
+    indirect_probers: int | None = None  # how many were sent, once they were
     nacks: int = 0
     answered: bool = False
 
@@ -133,7 +133,7 @@
         self.options = options
         self.incarnation = 0
         self.health = 0  # 0 is well
-        self.left = False
+        self.has_left = False
         self.renamed_from = ""  # another process has our name
         self.members: dict[str, Member] = {}
         self._in: dict[State, dict[str, None]] = {state: {} for state in State}  # names by state
@@ -141,7 +141,7 @@
         self.changes: list[Change] = []
         self.counts: dict[str, int] = {}
         self._seeds = tuple(each for each in seeds if each != address)
-        self._lot = Lot(seed)
+        self._random = RandomSource(seed)
         self._begun = now
         self._seq = 0
         self._ring: list[str] = []  # whom to ask in this round, the last first
@@ -149,19 +149,19 @@
         self._relays: dict[int, Relay] = {}
         self._challenges: dict[int, int] = {}  # questions to another process with our name, and its life
         self._claims: dict[int, int] = {}  # how often a life has claimed our name
-        self._told: dict[str, int] = {}  # what is still to be told, and how often it has been
+        self._transmit_counts: dict[str, int] = {}  # what is still to be told, and how often it has been
         self._queue: list[dict[str, None]] = [{}]  # the same, by how often
-        self._period_at = now + options.period * self._lot.part()
-        self._call_at = now
-        self._whole_at = now + options.whole * (0.5 + self._lot.part())
-        self._forget_at = now + options.remember / 10
+        self._period_at = now + options.probe_interval * self._random.random()
+        self._reconnect_at = now
+        self._whole_at = now + options.full_state_interval * (0.5 + self._random.random())
+        self._forget_at = now + options.retention / 10
         self._eager_at = now
         self._due = now  # what `deadline` said last
-        self._news_of_self()
+        self._announce_self()
 
     # What is believed.
 
-    def others(self, *states: State) -> list[str]:
+    def names_in(self, *states: State) -> list[str]:
         """Names of those in one of these states."""
         return [name for state in states for name in self._in[state]]
 
@@ -183,13 +183,13 @@
 
     def deadline(self) -> float:
         """When `turn` is due at the latest."""
-        due = min(self._period_at, self._call_at, self._whole_at, self._forget_at)
+        due = min(self._period_at, self._reconnect_at, self._whole_at, self._forget_at)
         if self._probe is not None and not self._probe.answered:
-            due = min(due, self._probe.again_at)
+            due = min(due, self._probe.retry_at)
         for relay in self._relays.values():
             due = min(due, relay.nack_at)
         for name in self._in[SUSPECT]:
-            due = min(due, self.members[name].bury_at)
+            due = min(due, self.members[name].dead_at)
         self._due = due
         return due
 
@@ -198,27 +198,27 @@
     def turn(self, now: float) -> None:
         """Do what is due."""
         self._notice(now)
-        if self.left:
-            self._period_at = self._call_at = self._whole_at = self._forget_at = math.inf
+        if self.has_left:
+            self._period_at = self._reconnect_at = self._whole_at = self._forget_at = math.inf
             return
         probe = self._probe
-        if probe is not None and not probe.answered and now >= probe.again_at:
-            self._ask_again(probe, now)
+        if probe is not None and not probe.answered and now >= probe.retry_at:
+            self._retry_probe(probe, now)
         for seq, relay in list(self._relays.items()):
             if now >= relay.nack_at:
                 del self._relays[seq]
                 self._send(relay.address, Nack(relay.seq, self._source(now)))
-        for name in self.others(SUSPECT):
-            if now >= self.members[name].bury_at:
-                self._bury(name, self.members[name], now)
+        for name in self.names_in(SUSPECT):
+            if now >= self.members[name].dead_at:
+                self._declare_dead(name, self.members[name], now)
         if now >= self._period_at:
             self._next_period(now)
-        if now >= self._call_at:
-            self._call(now)
+        if now >= self._reconnect_at:
+            self._reconnect(now)
         if now >= self._whole_at:
-            self._whole_at = now + self.options.whole * (0.5 + self._lot.part())
-            if alive := self.others(ALIVE):
-                self._exchange(self.members[self._lot.one(alive)].news.address, True, now)
+            self._whole_at = now + self.options.full_state_interval * (0.5 + self._random.random())
+            if alive := self.names_in(ALIVE):
+                self._exchange(self.members[self._random.choice(alive)].latest.address, True, now)
         if now >= self._forget_at:
             self._forget(now)
         self.deadline()
@@ -227,61 +227,63 @@
         """Danger: one that slept would find every answer missing and every suspicion over. What it asked is
         void, and who is suspected gets the time back."""
         slept = now - self._due
-        if slept <= self.options.period or self.left:
+        if slept <= self.options.probe_interval or self.has_left:
             return
         self._count("slept")
         self._due = now
         self._worse()
         self._probe = None
         self._relays.clear()
-        self._period_at = now + self.options.timeout
+        self._period_at = now + self.options.probe_timeout
         for name in self._in[SUSPECT]:
-            self.members[name].bury_at += slept
+            self.members[name].dead_at += slept
 
     def _next_period(self, now: float) -> None:
         probe, self._probe = self._probe, None
         if probe is not None and not probe.answered:
             self._unanswered(probe, now)
-        self._period_at = now + self.options.period * (1 + self.health)
+        self._period_at = now + self.options.probe_interval * (1 + self.health)
         name = self._next_name()
         if name is None:
             return
         member = self.members[name]
         self._seq += 1
-        self._probe = Probe(self._seq, name, now + self.options.timeout * (1 + self.health))
+        self._probe = Probe(self._seq, name, now + self.options.probe_timeout * (1 + self.health))
         self._count("asked")
-        first = (name,) if member.news.state is not ALIVE else ()
-        self._send(member.news.address, Ping(self._seq, self._source(now), name, self._pick(first)))
+        first = (name,) if member.latest.state is not ALIVE else ()
+        self._send(member.latest.address, Ping(self._seq, self._source(now), name, self._pick(first)))
 
     def _next_name(self) -> str | None:
         for _ in range(2):
             while self._ring:
                 name = self._ring.pop()
-                if name in self.members and self.members[name].news.state <= SUSPECT:
+                if name in self.members and self.members[name].latest.state <= SUSPECT:
                     return name
-            self._ring = self._lot.shuffled(self.others(ALIVE, SUSPECT))
+            self._ring = self._random.shuffled(self.names_in(ALIVE, SUSPECT))
         return None
 
-    def _ask_again(self, probe: Probe, now: float) -> None:
+    def _retry_probe(self, probe: Probe, now: float) -> None:
         """In few bytes, for a path may pass only small datagrams; the first time through others as well."""
-        probe.again_at = now + self.options.timeout * (1 + self.health)
+        probe.retry_at = now + self.options.probe_timeout * (1 + self.health)
         if probe.name not in self.members:
             return
-        news = self.members[probe.name].news
-        if probe.others is None:
-            others = [name for name in self.others(ALIVE) if name != probe.name]
-            asked = self._lot.some(others, self.options.indirect)
+        news = self.members[probe.name].latest
+        if probe.indirect_probers is None:
+            others = [name for name in self.names_in(ALIVE) if name != probe.name]
+            asked = self._random.sample(others, self.options.indirect_probes)
             # Danger: where one alone sees both sides, by lot it is sent now and then only, and the living are
             # buried: 25 in a minute among seven.
             via = self.members[probe.name].via
             if via in others and via not in asked:
                 asked = [*asked[1:], via]
-            probe.others = len(asked)
+            probe.indirect_probers = len(asked)
             for name in asked:
-                question = Indirect(probe.seq, self._source(now), probe.name, news.address, self._pick(()))
-                self._send(self.members[name].news.address, question)
+                question = IndirectPing(
+                    probe.seq, self._source(now), probe.name, news.address, self._pick(())
+                )
+                self._send(self.members[name].latest.address, question)
             # Danger: a loop that is late by less than a period would judge in the same breath.
-            rest = (self.options.period - self.options.timeout) * (1 + self.health)
+            rest = (self.options.probe_interval - self.options.probe_timeout) * (1 + self.health)
             self._period_at = max(self._period_at, now + rest)
         self._send(news.address, Ping(probe.seq, self._source(now), probe.name, (), True))
 
@@ -292,57 +294,57 @@
         self._count("unanswered")
         if not probe.nacks:
             self._worse()
-        if member is not None and member.news.state <= SUSPECT:
-            self._apply(_as(member.news, SUSPECT, self.name), now, "did not answer")
+        if member is not None and member.latest.state <= SUSPECT:
+            self._apply(_as(member.latest, SUSPECT, self.name), now, "did not answer")
 
-    def _bury(self, name: str, member: Member, now: float) -> None:
-        member.bury_at = math.inf
-        if member.news.state is SUSPECT:
+    def _declare_dead(self, name: str, member: Member, now: float) -> None:
+        member.dead_at = math.inf
+        if member.latest.state is SUSPECT:
             self._count("buried")
             why = f"suspected for {now - member.begun:.1f} s, refuted by nobody"
-            self._apply(_as(member.news, DEAD, self.name), now, why)
+            self._apply(_as(member.latest, DEAD, self.name), now, why)
 
-    def _call(self, now: float) -> None:
+    def _reconnect(self, now: float) -> None:
         """One of the dead, or a seed that is nobody's address: a split mends if somebody calls across."""
-        self._call_at = now + self.options.call * (0.75 + 0.5 * self._lot.part())
-        living = {self.members[name].news.address for name in self.others(ALIVE, SUSPECT)}
-        dead = {self.members[name].news.address: name for name in self._in[DEAD]}
+        self._reconnect_at = now + self.options.reconnect_interval * (0.75 + 0.5 * self._random.random())
+        living = {self.members[name].latest.address for name in self.names_in(ALIVE, SUSPECT)}
+        dead = {self.members[name].latest.address: name for name in self._in[DEAD]}
         calls = [*dead, *(each for each in self._seeds if each not in living and each not in dead)]
         if not calls:
             return
         # Danger: one that knows nobody and calls a single seed at a time may meet a dead one again and again.
-        for address in self._lot.some(calls, 1 if living else CALLS):
+        for address in self._random.sample(calls, 1 if living else CALLS):
             about = (dead[address],) if address in dead else ()
             self._send(address, Ping(0, self._source(now), "", self._pick(about, len(about))))
 
     def _exchange(self, address: str, wants: bool, now: float) -> None:
-        known = [self._self_news(), *(each.news for each in self.members.values() if not each.hearsay)]
-        self._send(address, Whole(self._source(now), tuple(known[:4096]), wants))
+        known = [self._own_update(), *(each.latest for each in self.members.values() if not each.hearsay)]
+        self._send(address, FullState(self._source(now), tuple(known[:4096]), wants))
 
     def _forget(self, now: float) -> None:
-        self._forget_at = now + self.options.remember / 10
+        self._forget_at = now + self.options.retention / 10
         for name, member in list(self.members.items()):
-            if member.news.state >= DEAD and now - member.since >= self.options.remember:
+            if member.latest.state >= DEAD and now - member.since >= self.options.retention:
                 del self.members[name]
-                self._in[member.news.state].pop(name)
-                self._tell(name, None)
+                self._in[member.latest.state].pop(name)
+                self._set_transmit_count(name, None)
 
     # Messages.
 
     def receive(self, now: float, message: Message) -> None:
         """Somebody says something."""
         self._notice(now)
-        if self.left:
+        if self.has_left:
             return
         source = message.source
-        if isinstance(message, Whole):
+        if isinstance(message, FullState):
             self._hear_whole(message, now)
             return
         stale = self._hear_source(source, now, isinstance(message, Ack))
-        for news in () if isinstance(message, Nack) else message.news:
+        for news in () if isinstance(message, Nack) else message.updates:
             self._apply(news, now, f"said by {source.name}")
             known = self.members.get(news.name)
-            if known is not None and known.news.above(news):
+            if known is not None and known.latest.supersedes(news):
                 stale = (*stale, news.name)
         if isinstance(message, Ping):
             if message.target in ("", self.name):
@@ -352,7 +354,7 @@
                 self._send(source.address, Ack(message.seq, self._source(now), told))
             else:
                 self._count("misdirected")
-        elif isinstance(message, Indirect):
+        elif isinstance(message, IndirectPing):
             self._relay(message, now)
         elif isinstance(message, Ack):
             self._answered(message, now)
@@ -363,34 +365,34 @@
         """Who sends lives; the name of what we know better of it, to be told in reply."""
         if source.name == self.name:
             if source.life != self.life:
-                self._about_name(source.news(), now)
+                self._about_name(source.as_update(), now)
                 return (self.name,)
             return ()
-        self._apply(source.news(), now, "answers" if answers else "speaks")
+        self._apply(source.as_update(), now, "answers" if answers else "speaks")
         member = self.members.get(source.name)
-        known = None if member is None else member.news
+        known = None if member is None else member.latest
         if known is None or (known.state is ALIVE and known.life == source.life):
             return ()
         return (source.name,)
 
-    def _hear_whole(self, message: Whole, now: float) -> None:
+    def _hear_whole(self, message: FullState, now: float) -> None:
         source = message.source
         self._hear_source(source, now, False)
         for news in message.members:
             known = self.members.get(news.name)
-            if news.state is DEAD and known is not None and known.news.state <= SUSPECT:
+            if news.state is DEAD and known is not None and known.latest.state <= SUSPECT:
                 # Danger: after a split each side says that the other is dead: they get to refute it.
                 news = _as(news, SUSPECT, source.name)
             self._apply(news, now, f"said by {source.name}")
         if message.wants:
             self._exchange(source.address, False, now)
 
-    def _relay(self, message: Indirect, now: float) -> None:
+    def _relay(self, message: IndirectPing, now: float) -> None:
         if len(self._relays) >= RELAYS_MOST:
             self._count("relays.refused")
             return
         self._seq += 1
-        nack_at = now + self.options.timeout
+        nack_at = now + self.options.probe_timeout
         self._relays[self._seq] = Relay(message.source.address, message.seq, message.target, nack_at)
         self._send(message.address, Ping(self._seq, self._source(now), message.target, (), True))
 
@@ -409,27 +411,27 @@
             self._send(relay.address, Ack(relay.seq, source, (), self.name))
         elif message.seq in self._challenges and source.life == self._challenges.pop(message.seq):
             if source.name == self.name:  # else it has given the name up already
-                self._two_of_one_name(source.news(), source.age, now)
+                self._two_of_one_name(source.as_update(), source.age, now)
 
     def leave(self, now: float) -> None:
         """Say that we go; after that nothing is heard or said."""
-        if self.left:
+        if self.has_left:
             return
-        news = News(self.name, self.address, self.life, self.incarnation, LEFT, self.name)
-        alive = self.others(ALIVE)
-        for name in self._lot.some(alive, 3 + 2 * len(alive).bit_length()):
-            self._send(self.members[name].news.address, Ping(0, self._source(now), "-", (news,), True))
-        self.left = True
+        news = MemberUpdate(self.name, self.address, self.life, self.incarnation, LEFT, self.name)
+        alive = self.names_in(ALIVE)
+        for name in self._random.sample(alive, 3 + 2 * len(alive).bit_length()):
+            self._send(self.members[name].latest.address, Ping(0, self._source(now), "-", (news,), True))
+        self.has_left = True
 
     # What is said of members.
 
-    def _apply(self, news: News, now: float, why: str) -> None:
+    def _apply(self, news: MemberUpdate, now: float, why: str) -> None:
         """One word; the later one stands, whoever brings it in whatever order."""
         if news.name == self.name:
             self._about_name(news, now)
             return
         member = self.members.get(news.name)
-        if news.incarnation > (LEAP if member is None else member.news.incarnation + LEAP):
+        if news.incarnation > (LEAP if member is None else member.latest.incarnation + LEAP):
             self._count("refused")  # forged, or a defect: nobody could refute it
             return
         if member is None:
@@ -437,56 +439,60 @@
                 self._count("refused")
                 return
             member = self.members[news.name] = Member(news, now, why, hearsay=news.state >= DEAD)
-            self._ring.insert(self._lot.below(len(self._ring) + 1), news.name)
+            self._ring.insert(self._random.randrange(len(self._ring) + 1), news.name)
             self._set(member, None, news, now, why)
-        elif news.above(member.news):
-            self._set(member, member.news.state, news, now, why)
-        elif news.state is SUSPECT and member.news.state is SUSPECT:
-            if news.incarnation == member.news.incarnation:
+        elif news.supersedes(member.latest):
+            self._set(member, member.latest.state, news, now, why)
+        elif news.state is SUSPECT and member.latest.state is SUSPECT:
+            if news.incarnation == member.latest.incarnation:
                 self._witness(member, news)
 
-    def _set(self, member: Member, before: State | None, news: News, now: float, why: str) -> None:
+    def _set(self, member: Member, before: State | None, news: MemberUpdate, now: float, why: str) -> None:
         if before is not None:
             self._in[before].pop(news.name)
         self._in[news.state][news.name] = None
-        member.news, member.why = news, why
-        member.bury_at, witnesses = math.inf, member.witnesses
+        member.latest, member.why = news, why
+        member.dead_at, witnesses = math.inf, member.witnesses
         member.witnesses = ()
         if news.state is SUSPECT:
             witnesses = member.witnesses = (news.by,) if news.by else ()
             member.begun = now
-            member.bury_at = now + self._lasts(member)
+            member.dead_at = now + self._suspicion_duration(member)
             self._count("suspected")
         elif news.state is DEAD and news.by not in witnesses:
             witnesses = (*witnesses, news.by)
         member.hearsay = member.hearsay and news.state >= DEAD
         if not member.hearsay:
             # Danger: the dead that are passed on by those who know them by hearsay are never forgotten.
-            self._tell(news.name, 0)
+            self._set_transmit_count(news.name, 0)
         if news.state is not before:
             member.since = now
             told = () if news.state is ALIVE else witnesses
             self.changes.append(Change(news.name, before, news.state, news.incarnation, why, told))
             if news.state is ALIVE and (len(self._in[ALIVE]) == 1 if before is None else before >= DEAD):
-                self._whole_at = min(self._whole_at, now + self.options.timeout * self._lot.part())
+                self._whole_at = min(self._whole_at, now + self.options.probe_timeout * self._random.random())
 
-    def _witness(self, member: Member, news: News) -> None:
+    def _witness(self, member: Member, news: MemberUpdate) -> None:
         """One more who suspects it."""
         if news.by in member.witnesses or len(member.witnesses) > self._wanted():
             return
         member.witnesses = (*member.witnesses, news.by)
-        member.bury_at = member.begun + self._lasts(member)
-        member.news = news  # so that the others hear this witness too
-        self._tell(news.name, 0)
+        member.dead_at = member.begun + self._suspicion_duration(member)
+        member.latest = news  # so that the others hear this witness too
+        self._set_transmit_count(news.name, 0)
 
     def _wanted(self) -> int:
         """Further witnesses with which a suspicion is as short as it may be."""
         return max(0, min(2, self.count - 3))
 
-    def _lasts(self, member: Member) -> float:
+    def _suspicion_duration(self, member: Member) -> float:
         """Seconds that a suspicion lasts with the witnesses that it has."""
-        least = self.options.suspicion * max(1.0, math.log10(max(1, self.count))) * self.options.period
-        most, wanted = least * self.options.suspicion_most, self._wanted()
+        least = (
+            self.options.suspicion_mult
+            * max(1.0, math.log10(max(1, self.count)))
+            * self.options.probe_interval
+        )
+        most, wanted = least * self.options.suspicion_max_mult, self._wanted()
         if not wanted:
             return most
         part = math.log(max(1, len(member.witnesses))) / math.log(wanted + 1)
@@ -494,7 +500,7 @@
 
     # What is said of ourselves.
 
-    def _about_name(self, news: News, now: float) -> None:
+    def _about_name(self, news: MemberUpdate, now: float) -> None:
         """Somebody speaks of the one that has our name."""
         if news.incarnation > self.incarnation + LEAP:
             # Danger: were this outbid, the others would refuse our own word from then on.
@@ -503,7 +509,7 @@
         other = news.life != self.life
         if news.incarnation < self.incarnation or (news.state is ALIVE and not other):
             if news.incarnation > self.incarnation:
-                self._claim(news.incarnation)
+                self._raise_incarnation(news.incarnation)
             return
         if news.state is ALIVE and news.address != self.address:
             # A former process of ours that the others remember, or one that lives (but not at our address).
@@ -516,27 +522,27 @@
             self._count("refuted")
             if not other:
                 self._worse()
-        self._claim(news.incarnation)
+        self._raise_incarnation(news.incarnation)
         if news.state is not ALIVE and now >= self._eager_at:
             # At once: it may be the last moment, or we stand still again. Danger: each of these is answered,
             # and where the answer accuses us once more, three become nine.
-            self._eager_at = now + self.options.timeout
-            for name in self._lot.some(self.others(ALIVE), self.options.indirect):
-                ping = Ping(0, self._source(now), name, (self._self_news(),), True)
-                self._send(self.members[name].news.address, ping)
+            self._eager_at = now + self.options.probe_timeout
+            for name in self._random.sample(self.names_in(ALIVE), self.options.indirect_probes):
+                ping = Ping(0, self._source(now), name, (self._own_update(),), True)
+                self._send(self.members[name].latest.address, ping)
 
-    def _claim(self, above: int) -> None:
+    def _raise_incarnation(self, above: int) -> None:
         self.incarnation = above + 1
-        self._news_of_self()
+        self._announce_self()
 
-    def _challenge(self, news: News, now: float) -> None:
+    def _challenge(self, news: MemberUpdate, now: float) -> None:
         """A fresh question, so that an answer can't be an old one."""
         if len(self._challenges) < RELAYS_MOST:
             self._seq += 1
             self._challenges[self._seq] = news.life
             self._send(news.address, Ping(self._seq, self._source(now), self.name, (), True))
 
-    def _two_of_one_name(self, news: News, age: int | None, now: float) -> None:
+    def _two_of_one_name(self, news: MemberUpdate, age: int | None, now: float) -> None:
         """Another process lives under our name: the younger one goes on under a name of its own."""
         mine = int((now - self._begun) * 1000)
         together = age is None or abs(age - mine) < YOUNG
@@ -546,13 +552,13 @@
         self.changes.append(Change(self.name, None, ALIVE, self.incarnation, why, ()))
         if not yields:
             self._claims.pop(news.life, None)
-            self._claim(max(self.incarnation, news.incarnation))
+            self._raise_incarnation(max(self.incarnation, news.incarnation))
             return
         self.renamed_from, taken = self.name, self.name
-        self._tell(self.name, None)
+        self._set_transmit_count(self.name, None)
         self.name = f"{taken[:55]}~{self.life:08x}"
         self._apply(_as(news, ALIVE, taken), now, "speaks")
-        self._news_of_self()
+        self._announce_self()
 
     # What is told.
 
@@ -560,41 +566,41 @@
         age = max(0, int((now - self._begun) * 1000))
         return Source(self.name, self.address, self.life, self.incarnation, age)
 
-    def _self_news(self) -> News:
-        return News(self.name, self.address, self.life, self.incarnation, ALIVE, self.name)
+    def _own_update(self) -> MemberUpdate:
+        return MemberUpdate(self.name, self.address, self.life, self.incarnation, ALIVE, self.name)
 
-    def _news_of_self(self) -> None:
-        self._tell(self.name, 0)
+    def _announce_self(self) -> None:
+        self._set_transmit_count(self.name, 0)
 
-    def _tell(self, name: str, times: int | None) -> None:
+    def _set_transmit_count(self, name: str, times: int | None) -> None:
         """It has been told so often; None: it need not be told."""
-        before = self._told.pop(name, None)
+        before = self._transmit_counts.pop(name, None)
         if before is not None:
             self._queue[before].pop(name)
         if times is not None:
             while len(self._queue) <= times:
                 self._queue.append({})
-            self._told[name] = times
+            self._transmit_counts[name] = times
             self._queue[times][name] = None
 
-    def _pick(self, first: tuple[str, ...], most: int = NEWS_MOST) -> tuple[News, ...]:
+    def _pick(self, first: tuple[str, ...], most: int = NEWS_MOST) -> tuple[MemberUpdate, ...]:
         """What goes along: these first, then what has been told least."""
-        picked: dict[str, News] = {}
+        picked: dict[str, MemberUpdate] = {}
         room = ROOM
-        limit = self.options.spread * max(1, math.ceil(math.log10(self.count + 1)))
+        limit = self.options.retransmit_mult * max(1, math.ceil(math.log10(self.count + 1)))
         queue = chain.from_iterable(self._queue) if most > len(first) else ()
         for name in chain(first, queue):
             if len(picked) >= max(most, len(first)):
                 break
-            known = self._self_news() if name == self.name else self.members[name].news
+            known = self._own_update() if name == self.name else self.members[name].latest
             weight = len(name.encode()) + len(known.address) + len(known.by.encode()) + 24
             if weight > room:
                 break
             room -= weight
             picked[name] = known
         for name in picked:
-            if (told := self._told.get(name)) is not None:
-                self._tell(name, told + 1 if told + 1 < limit else None)
+            if (told := self._transmit_counts.get(name)) is not None:
+                self._set_transmit_count(name, told + 1 if told + 1 < limit else None)
         return tuple(picked.values())
 
     def _send(self, address: str, message: Message) -> None:
@@ -607,5 +613,5 @@
         self.counts[name] = self.counts.get(name, 0) + 1
 
 
-def _as(news: News, state: State, by: str) -> News:
-    return News(news.name, news.address, news.life, news.incarnation, state, by)
+def _as(news: MemberUpdate, state: State, by: str) -> MemberUpdate:
+    return MemberUpdate(news.name, news.address, news.life, news.incarnation, state, by)
--- a/switchhub/operator_file.py
+++ b/switchhub/operator_file.py
@@ -30,7 +30,7 @@
 }
 
 
-class Peers(Struct, frozen=True):
+class PeerSettings(Struct, frozen=True):
     """`[peers]`: the balancers know each other."""
 
     cluster: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -50,7 +50,7 @@
         return self.advertise or self.listen
 
 
-class Leases(Struct, frozen=True):
+class LeaseSettings(Struct, frozen=True):
     """`[leases]`: duties that only one balancer may hold at a time."""
 
     voters: list[str]  # addresses of 1, 3, 5 or 7 balancers, as they advertise them; the same at all
@@ -62,14 +62,14 @@
     folder: str = ""  # that survives: a voter's tokens rise even if all voters are started again at once
 
 
-class Operator(Struct, frozen=True):
+class OperatorSettings(Struct, frozen=True):
     """All sections; one that is not there is off."""
 
-    peers: Peers | None = None
-    leases: Leases | None = None
+    peers: PeerSettings | None = None
+    leases: LeaseSettings | None = None
 
 
-class OperatorError(ConfigError):
+class OperatorFileError(ConfigError):
     """A file that does not serve: a line for each fault."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -78,12 +78,12 @@
         self.faults = faults
 
 
-def read(path: Path) -> Operator:
-    """The file, or `OperatorError` with all that is wrong with it."""
+def read_operator_file(path: Path) -> OperatorSettings:
+    """The file, or `OperatorFileError` with all that is wrong with it."""
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise OperatorError([f"{path}: {error}"]) from None
+        raise OperatorFileError([f"{path}: {error}"]) from None
     faults: list[str] = []
     sections: dict[str, Any] = {}
     for name, value in data.items():
@@ -100,8 +100,8 @@
     if "leases" in data and "peers" not in data:
         faults.append("leases: expected [peers] too, for voters and holders speak through them")
     if faults:
-        raise OperatorError([f"{path}: {fault}" for fault in faults])
-    return Operator(**sections)
+        raise OperatorFileError([f"{path}: {fault}" for fault in faults])
+    return OperatorSettings(**sections)
 
 
 def _section(name: str, kind: type[T], data: dict[str, Any], faults: list[str]) -> T | None:
@@ -140,7 +140,7 @@
     return None
 
 
-def _check_peers(told: Peers) -> list[str]:
+def _check_peers(told: PeerSettings) -> list[str]:
     faults: list[str] = []
     _address("peers.listen", told.listen, faults, any_host=bool(told.advertise))
     if told.advertise:
@@ -167,7 +167,7 @@
     return faults
 
 
-def _check_leases(told: Leases) -> list[str]:
+def _check_leases(told: LeaseSettings) -> list[str]:
     faults: list[str] = []
     for key, voters in (("voters", told.voters), ("before", told.before)):
         for number, voter in enumerate(voters):
@@ -197,8 +197,8 @@
 
 
 SECTIONS: dict[str, tuple[type[Any], Any]] = {
-    "peers": (Peers, _check_peers),
-    "leases": (Leases, _check_leases),
+    "peers": (PeerSettings, _check_peers),
+    "leases": (LeaseSettings, _check_leases),
 }
 
 
@@ -208,8 +208,8 @@
         print("usage: python -m switchhub check FILE", file=sys.stderr)
         return 2
     try:
-        read(Path(arguments[0]))
-    except OperatorError as error:
+        read_operator_file(Path(arguments[0]))
+    except OperatorFileError as error:
         print(error, file=sys.stderr)
         return 2
     print(f"{arguments[0]}: serves")
--- a/switchhub/peers/form.py
+++ b/switchhub/peers/codec.py
@@ -1,11 +1,11 @@
 """Messages between balancers as bytes: MessagePack by msgspec, in an envelope with version and cluster.
 
 Owns: the envelope and what is refused. Must never: read more of a message than version and cluster before
-both fit, or let anything but `FormError` come of any bytes.
+both fit, or let anything but `RejectedMessageError` come of any bytes.
 
 | version | what |
 | --- | --- |
-| 1 | membership: `Ping`, `Indirect`, `Ack`, `Nack`, `Whole` |
+| 1 | membership: `Ping`, `IndirectPing`, `Ack`, `Nack`, `FullState` |
 | 1 | leases: `Ask` to `Learnt` (`leases/messages.py`); a process that has none counts them as `garbage` |
 
 A further field at an array's end keeps the version; anything else raises it. Other versions are ignored.
@@ -20,11 +20,11 @@
 
 VERSION = 1
 Message = membership.Message | leases.Message
-DATAGRAM = 1200  # bytes: what passes unbroken on any path
-WHOLE = 1 << 20  # bytes of a whole belief
+MAX_DATAGRAM_BYTES = 1200  # bytes: what passes unbroken on any path
+MAX_FULL_STATE_BYTES = 1 << 20  # bytes of a whole belief
 
 
-class FormError(ValueError):
+class RejectedMessageError(ValueError):
     """Bytes that are no message for us; `kind` is what they are counted as."""
 
     def __init__(self, kind: str) -> None:
@@ -49,13 +49,13 @@
 
 
 def unpack(cluster: str, data: bytes | bytearray | memoryview) -> Message:
-    """The message, or `FormError`."""
+    """The message, or `RejectedMessageError`."""
     try:
         envelope = _envelope.decode(data)
         if envelope.cluster != cluster:
-            raise FormError("other_cluster")
+            raise RejectedMessageError("other_cluster")
         if envelope.version != VERSION:
-            raise FormError("other_version")
+            raise RejectedMessageError("other_version")
         return _message.decode(envelope.body)
     except (DecodeError, ValidationError, UnicodeDecodeError, RecursionError):
-        raise FormError("garbage") from None
+        raise RejectedMessageError("garbage") from None
--- a/switchhub/peers/hold.py
+++ b/switchhub/peers/lease_handle.py
@@ -13,8 +13,8 @@
 SOON = 0.02  # seconds
 
 
-class Hold:
-    """Made by `Node.hold`, in the loop of whoever waits."""
+class LeaseHandle:
+    """Made by `PeerNode.hold`, in the loop of whoever waits."""
 
     def __init__(self, name: str, look: Callable[[], int | None], release: Callable[[str], bool]) -> None:
         self.name = name
--- a/switchhub/peers/node.py
+++ b/switchhub/peers/node.py
@@ -2,7 +2,7 @@
 
 Owns: both sockets at the peers' address, the thread, the clock that the cores are given (CLOCK_BOOTTIME: it
 counts on while the machine sleeps, for a lease that is over must be over when it wakes).
-Must never: decide who is there (`membership.core` does), take what does not decode for more than a number, or
+Must never: decide who is there (`membership.swim` does), take what does not decode for more than a number, or
 keep the balancer from serving: an address that is taken is asked for again, and said.
 
 Danger: in a storm of clients the main loop stands still for longer than an answer may take, so this runs in a
@@ -33,20 +33,26 @@
 from switchhub.leases.service import TOLD, Leases
 from switchhub.leases.tokens import Tokens
 from switchhub.lifecycle.phase import Phase
-from switchhub.membership.core import Change, Membership, Options
-from switchhub.membership.messages import Ack, Indirect, Nack, Ping, State, Whole
+from switchhub.membership.messages import Ack, FullState, IndirectPing, Nack, Ping, State
+from switchhub.membership.swim import Change, Membership, Options
 from switchhub.net.config import ConfigError, parse_address
-from switchhub.operator_file import Leases as LeaseTerms
-from switchhub.operator_file import Peers
-from switchhub.peers.form import DATAGRAM, WHOLE, FormError, Message, pack, unpack
-from switchhub.peers.hold import Hold
+from switchhub.operator_file import LeaseSettings, PeerSettings
+from switchhub.peers.codec import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FULL_STATE_BYTES,
+    Message,
+    RejectedMessageError,
+    pack,
+    unpack,
+)
+from switchhub.peers.lease_handle import LeaseHandle
 
 AT_ONCE = 64  # datagrams read before anything else has its turn
 LISTENERS, TALKERS = 32, 16  # connections taken in and made at a time
 WITHIN = 2.0  # seconds for one connection
 AGAIN = 0.1  # seconds until an address that is taken is asked for again
 NAME_MOST = 48  # bytes of a name
-MEMBERSHIP = (Ping, Indirect, Ack, Nack, Whole)
+MEMBERSHIP = (Ping, IndirectPing, Ack, Nack, FullState)
 ROUND = 0.5  # seconds that the thread may take to end
 
 
@@ -55,10 +61,10 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Node:
+class PeerNode:
     """The thread, and what it owns."""
 
-    def __init__(self, told: Peers, name: str, leases: LeaseTerms | None = None) -> None:
+    def __init__(self, told: PeerSettings, name: str, leases: LeaseSettings | None = None) -> None:
         if not 0 < len(name.encode()) <= NAME_MOST or "~" in name:
             raise ConfigError(
                 f"name={name!r}: expected 1 to {NAME_MOST} bytes without '~' where there are peers"
@@ -67,12 +73,12 @@
         self._listen = parse_address(told.listen)
         period = told.period_ms / 1000
         self._options = Options(
-            period=period,
-            timeout=told.timeout_ms / 1000,
-            suspicion=told.suspicion_ms / told.period_ms,
-            call=told.call_ms / 1000,
-            whole=float(told.whole_s),
-            remember=float(told.remember_s),
+            probe_interval=period,
+            probe_timeout=told.timeout_ms / 1000,
+            suspicion_mult=told.suspicion_ms / told.period_ms,
+            reconnect_interval=told.call_ms / 1000,
+            full_state_interval=float(told.whole_s),
+            retention=float(told.remember_s),
         )
         self._terms, self._tokens = None, None
         if leases is not None:
@@ -87,7 +93,7 @@
             if leases.folder:
                 self._tokens = Tokens(Path(leases.folder), name, self._terms.electorate)
         self._leases: Leases | None = None
-        self._holds: dict[str, Hold] = {}  # by parts of this balancer
+        self._holds: dict[str, LeaseHandle] = {}  # by parts of this balancer
         self.counts: Counter[str] = Counter()
         self._lock = threading.Lock()
         self._core: Membership | None = None
@@ -104,7 +110,7 @@
 
     # From the main thread.
 
-    def follow(self, phase: Phase) -> None:
+    def on_phase_change(self, phase: Phase) -> None:
         """The process has become this: one that serves is a member; one that gave way is not, and says
         nothing, for its successor is the same member."""
         if phase in (Phase.READY, Phase.DRAINING):
@@ -118,9 +124,9 @@
             self._loop.call_soon_threadsafe(self._leave)
         self._thread.join(ROUND)
 
-    def hold(self, name: str) -> Hold:
+    def hold(self, name: str) -> LeaseHandle:
         """Want this name for a part of the balancer, until it is released; from that part's event loop."""
-        hold = Hold(name, partial(self._token, name), partial(self._end, name))
+        hold = LeaseHandle(name, partial(self._token, name), partial(self._end, name))
         with self._lock:
             if name in self._holds:
                 raise ValueError(f"{name!r} is wanted by a part of this balancer already")
@@ -137,11 +143,11 @@
         with self._lock:
             core, leases = self._core, self._leases
             member = None if core is None else core.members.get(heir)
-            if heir and (member is None or member.news.state is not State.ALIVE):
+            if heir and (member is None or member.latest.state is not State.ALIVE):
                 return False
             if (hold := self._holds.pop(name, None)) is not None:
                 hold.tell(None)
-            address = member.news.address if member is not None else ""
+            address = member.latest.address if member is not None else ""
             released = leases is not None and leases.release(name, clock(), heir, address)
             self._loop.call_soon_threadsafe(self._turn)
             return released
@@ -185,9 +191,9 @@
                 leases.let_go(name, now)
             else:
                 member = core.members.get(heir)
-                if verb == "hand-on" and (member is None or member.news.state is not State.ALIVE):
+                if verb == "hand-on" and (member is None or member.latest.state is not State.ALIVE):
                     return 409, f"{heir!r} is nobody who is alive\n"
-                address = member.news.address if member is not None else ""
+                address = member.latest.address if member is not None else ""
                 if not leases.end(name, now, heir, address):
                     return 409, f"{name!r} is not wanted here\n"
             self._loop.call_soon_threadsafe(self._turn)
@@ -208,7 +214,7 @@
             }
         rows = [_row(core.name, State.ALIVE, core.incarnation, now - self._since, "this one")]
         for name, each in sorted(core.members.items()):
-            rows.append(_row(name, each.news.state, each.news.incarnation, now - each.since, each.why))
+            rows.append(_row(name, each.latest.state, each.latest.incarnation, now - each.since, each.why))
         return {
             "name": core.name,
             "incarnation": core.incarnation,
@@ -341,9 +347,9 @@
         """Some bytes; whatever they are, at most a counter changes unless they are a message."""
         try:
             message = unpack(self._told.cluster, data)
-            if isinstance(message, Whole) is not whole:
-                raise FormError("garbage")
-        except FormError as error:
+            if isinstance(message, FullState) is not whole:
+                raise RejectedMessageError("garbage")
+        except RejectedMessageError as error:
             self.counts[error.kind] += 1
             return
         with self._lock:
@@ -376,7 +382,7 @@
             return
         out, core.out = core.out, []
         for address, message in out:
-            if isinstance(message, Whole):
+            if isinstance(message, FullState):
                 self._talk(address, message)
             else:
                 self._send(address, message)
@@ -406,7 +412,7 @@
 
     def _send(self, address: str, message: Message) -> None:
         data = pack(self._told.cluster, message)
-        if len(data) > DATAGRAM or self._udp is None:
+        if len(data) > MAX_DATAGRAM_BYTES or self._udp is None:
             self.counts["too_long"] += 1
             return
         try:
@@ -420,7 +426,7 @@
         ):  # no way there, a full buffer, no address: as if it were lost
             self.counts["not_sent"] += 1
 
-    def _talk(self, address: str, message: Whole) -> None:
+    def _talk(self, address: str, message: FullState) -> None:
         if self._talks >= TALKERS:
             self.counts["connections_refused"] += 1
             return
@@ -453,7 +459,7 @@
             async with asyncio.timeout(WITHIN):
                 while piece := await self._loop.sock_recv(sock, 65536):
                     data += piece
-                    if len(data) > WHOLE:
+                    if len(data) > MAX_FULL_STATE_BYTES:
                         break
                 else:
                     self.counts["wholes_in"] += 1
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -8,8 +8,8 @@
 
 from switchhub.lab.circle import Circles
 from switchhub.lab.explorer import explore
-from switchhub.membership.core import Member, Membership, Options, Probe
-from switchhub.membership.messages import News, State
+from switchhub.membership.messages import MemberUpdate, State
+from switchhub.membership.swim import Member, Membership, Options, Probe
 
 
 @pytest.mark.parametrize(
@@ -34,36 +34,36 @@
 
 
 class NeverRefutes(Membership):
-    def _claim(self, above: int) -> None:
+    def _raise_incarnation(self, above: int) -> None:
         pass
 
 
 class AsksOnce(Membership):
     """No helpers, no second question, and no time to refute."""
 
-    def _ask_again(self, probe: Probe, now: float) -> None:
-        probe.again_at, probe.others = 1e9, 0
+    def _retry_probe(self, probe: Probe, now: float) -> None:
+        probe.retry_at, probe.indirect_probers = 1e9, 0
 
-    def _lasts(self, member: Member) -> float:
+    def _suspicion_duration(self, member: Member) -> float:
         return 0.1
 
 
 class NeverBuries(Membership):
-    def _bury(self, name: str, member: Member, now: float) -> None:
-        member.bury_at = now + 1.0
+    def _declare_dead(self, name: str, member: Member, now: float) -> None:
+        member.dead_at = now + 1.0
 
 
 class NeverCalls(Membership):
-    def _call(self, now: float) -> None:
-        self._call_at = now + 1.0
+    def _reconnect(self, now: float) -> None:
+        self._reconnect_at = now + 1.0
 
 
 class Forgetful(Membership):
     """Starts each life, and each claim, from nothing."""
 
-    def _claim(self, above: int) -> None:
+    def _raise_incarnation(self, above: int) -> None:
         self.incarnation = 0
-        self._news_of_self()
+        self._announce_self()
 
 
 @pytest.mark.parametrize(
@@ -81,16 +81,16 @@
     assert found.fault is not None and says in found.fault, found
 
 
-def _believed(order: tuple[News, ...]) -> tuple[int, State]:
+def _believed(order: tuple[MemberUpdate, ...]) -> tuple[int, State]:
     member = Membership("n0", "a-n0", 1, (), Options(), 1, 0.0)
     for news in order:
         member._apply(news, 0.0, "")
-    known = member.members["x"].news
+    known = member.members["x"].latest
     return known.incarnation, known.state
 
 
 WORDS = [
-    News("x", "a-x", 7, incarnation, state, "w")
+    MemberUpdate("x", "a-x", 7, incarnation, state, "w")
     for incarnation, state in (
         (0, State.ALIVE),
         (0, State.DEAD),
@@ -107,5 +107,5 @@
 
 
 def test_without_an_order_among_words_the_last_one_stands(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(News, "above", lambda self, other: self != other)
+    monkeypatch.setattr(MemberUpdate, "supersedes", lambda self, other: self != other)
     assert len({_believed(order) for order in permutations(WORDS)}) > 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -170,7 +170,7 @@
         assert bool(record.refused) is ("halt @d" in record.plan), failed(record)
 
 
-CORE, VOTER = "switchhub.membership.core:Membership", "switchhub.leases.voter:Voter"
+CORE, VOTER = "switchhub.membership.swim:Membership", "switchhub.leases.voter:Voter"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -21,7 +21,7 @@
 from switchhub.leases.service import KEEPS, TOLD, Leases
 from switchhub.leases.tokens import Tokens
 from switchhub.leases.voter import Voter
-from switchhub.peers.form import DATAGRAM, pack
+from switchhub.peers.codec import MAX_DATAGRAM_BYTES, pack
 
 MOST = 60_000
 
@@ -603,7 +603,7 @@
         if node.deadline() <= now:
             node.turn(now)
             assert node.deadline() > now
-        assert all(len(pack("river", send.message)) <= DATAGRAM for send in node.out)
+        assert all(len(pack("river", send.message)) <= MAX_DATAGRAM_BYTES for send in node.out)
         node.out.clear()
         node.rows(now)
     top = node.voter.tops.get("duty", 0) if node.voter is not None else 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,8 +7,8 @@
 import pytest
 
 from switchhub.lab.members import World, death, quiet
-from switchhub.membership.core import LEAP, Membership, Options
-from switchhub.membership.messages import MOST, News, Ping, Source, State
+from switchhub.membership.messages import MAX_INCARNATION, MemberUpdate, Ping, Source, State
+from switchhub.membership.swim import LEAP, Membership, Options
 
 DEAD, ALIVE = State.DEAD, State.ALIVE
 
@@ -18,7 +18,7 @@
     begun = world.now
     while not condition():  # type: ignore[operator]
         assert world.now < begun + limit, {
-            key: ({name: m.news.state.name for name, m in each.members.items()}, each.view)
+            key: ({name: m.latest.state.name for name, m in each.members.items()}, each.view)
             for key, each in world.all.items()
         }
         world.run(world.now + 0.05)
@@ -81,7 +81,7 @@
 
 
 def test_a_split_longer_than_the_dead_are_remembered_mends_by_the_seeds() -> None:
-    world = World(7, 1, options=replace(Options(), remember=20.0))
+    world = World(7, 1, options=replace(Options(), retention=20.0))
     world.run(2.0)
     world.cut = lambda a, b: (a in "n0n1n2") is not (b in "n0n1n2")
     world.run(60.0)
@@ -130,7 +130,7 @@
     again = world.start("n4", address="a-elsewhere")
     until(world, world.agreed, 3.0)
     assert again.name == "n4" and again.incarnation >= 1
-    assert {each.members["n4"].news.address for each in world.living() if each is not again} == {
+    assert {each.members["n4"].latest.address for each in world.living() if each is not again} == {
         "a-elsewhere"
     }
     assert not [seen for seen in world.seen if "two processes" in seen.change.why]
@@ -170,7 +170,7 @@
     world._after("n5")
     until(world, world.agreed, 1.0)
     world.run(world.now + 5.0)
-    states = {each.members["n5"].news.state for each in world.living()}
+    states = {each.members["n5"].latest.state for each in world.living()}
     assert states == {State.LEFT} and not buried(world) and sure(world)
     world.start("n5")
     until(world, lambda: sure(world), 3.0)
@@ -225,14 +225,14 @@
 
 
 def test_what_a_link_that_drops_large_datagrams_costs_is_no_member() -> None:
-    """News travel then by the whole exchange."""
+    """MemberUpdate travel then by the whole exchange."""
     world = World(6, 1)
     after = world._after
 
     def narrow(key: str) -> None:
         member = world.all[key]
         member.out = [
-            each for each in member.out if not getattr(each.message, "news", ()) or each.address != "a-n1"
+            each for each in member.out if not getattr(each.message, "updates", ()) or each.address != "a-n1"
         ]
         after(key)
 
@@ -244,22 +244,22 @@
 def test_an_incarnation_forged_at_the_greatest_number_changes_nothing() -> None:
     world = World(4, 1)
     world.run(2.0)
-    for number in (MOST, LEAP + 1):
+    for number in (MAX_INCARNATION, LEAP + 1):
         for target in ("n0", "n1", "n2"):
-            forged = News("n1", "a-n1", 7, number, State.DEAD, "n3")
+            forged = MemberUpdate("n1", "a-n1", 7, number, State.DEAD, "n3")
             stranger = Source("x", "a-x", 1, 0, 0)
             world.all[target].receive(world.now, Ping(0, stranger, "", (forged,)))
             world._after(target)
     world.run(3.0)
-    assert all(each.members["n1"].news.state is ALIVE for name, each in world.all.items() if name != "n1")
+    assert all(each.members["n1"].latest.state is ALIVE for name, each in world.all.items() if name != "n1")
     assert world.all["n0"].counts["refused"] == 2
     # Within reach it is outbid.
-    forged = News("n1", "a-n1", 7, LEAP, State.SUSPECT, "n3")
+    forged = MemberUpdate("n1", "a-n1", 7, LEAP, State.SUSPECT, "n3")
     world.all["n0"].receive(world.now, Ping(0, Source("x", "a-x", 1, 0, 0), "", (forged,)))
     world._after("n0")
     world.run(6.0)
-    assert world.all["n0"].members["n1"].news.incarnation > LEAP
-    assert world.all["n0"].members["n1"].news.state is ALIVE
+    assert world.all["n0"].members["n1"].latest.incarnation > LEAP
+    assert world.all["n0"].members["n1"].latest.state is ALIVE
 
 
 def test_names_without_end_are_not_remembered() -> None:
@@ -298,17 +298,17 @@
 
 
 class NoRefutation(Membership):
-    def _claim(self, above: int) -> None:
+    def _raise_incarnation(self, above: int) -> None:
         pass
 
 
 class NoCalls(Membership):
-    def _call(self, now: float) -> None:
-        self._call_at = now + 1.0
+    def _reconnect(self, now: float) -> None:
+        self._reconnect_at = now + 1.0
 
 
 class NoHelp(Membership):
-    def _lasts(self, member: object) -> float:
+    def _suspicion_duration(self, member: object) -> float:
         return 0.0
 
 
@@ -334,13 +334,13 @@
     world.run(3.0)
     # It suspects somebody, stands still, and buries it when it wakes, before it has read the refutation.
     member = world.all["n2"]
-    known = member.members["n4"].news
+    known = member.members["n4"].latest
     member._apply(
-        News(known.name, known.address, known.life, known.incarnation, State.SUSPECT, "n2"), 3.0, ""
+        MemberUpdate(known.name, known.address, known.life, known.incarnation, State.SUSPECT, "n2"), 3.0, ""
     )
     world.pause("n2", 5.0)
     member.turn(8.0)
-    assert member.members["n4"].news.state is DEAD
+    assert member.members["n4"].latest.state is DEAD
 
 
 def test_the_same_seed_gives_the_same_record() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,12 +16,22 @@
 from switchhub.lab.live.runner import ports
 from switchhub.leases import messages as leases
 from switchhub.lifecycle.phase import Phase
-from switchhub.membership.core import NEWS_MOST, Membership, Options
-from switchhub.membership.messages import Ack, Indirect, Message, Nack, News, Ping, Source, State, Whole
-from switchhub.operator_file import Leases, OperatorError, Peers, read
-from switchhub.peers.form import DATAGRAM, VERSION, FormError, pack, unpack
-from switchhub.peers.hold import Hold
-from switchhub.peers.node import Node
+from switchhub.membership.messages import (
+    Ack,
+    FullState,
+    IndirectPing,
+    MemberUpdate,
+    Message,
+    Nack,
+    Ping,
+    Source,
+    State,
+)
+from switchhub.membership.swim import NEWS_MOST, Membership, Options
+from switchhub.operator_file import LeaseSettings, OperatorFileError, PeerSettings, read_operator_file
+from switchhub.peers.codec import MAX_DATAGRAM_BYTES, VERSION, RejectedMessageError, pack, unpack
+from switchhub.peers.lease_handle import LeaseHandle
+from switchhub.peers.node import PeerNode
 
 ROOT = Path(__file__).parent.parent
 names = st.text(min_size=1, max_size=16)
@@ -29,15 +39,15 @@
 counts = st.integers(0, 2**32 - 1)
 sources = st.builds(Source, names, places, counts, st.integers(0, 2**62), st.integers(0, 2**53 - 1))
 news = st.builds(
-    News, names, places, counts, st.integers(0, 2**62), st.sampled_from(State), st.text(max_size=8)
+    MemberUpdate, names, places, counts, st.integers(0, 2**62), st.sampled_from(State), st.text(max_size=8)
 )
 told = st.lists(news, max_size=4).map(tuple)
 messages = st.one_of(
     st.builds(Ping, counts, sources, st.text(max_size=8), told, st.booleans()),
-    st.builds(Indirect, counts, sources, names, places, told),
+    st.builds(IndirectPing, counts, sources, names, places, told),
     st.builds(Ack, counts, sources, told),
     st.builds(Nack, counts, sources),
-    st.builds(Whole, sources, told, st.booleans()),
+    st.builds(FullState, sources, told, st.booleans()),
 )
 
 
@@ -48,7 +58,8 @@
 
 @given(messages, st.data())
 def test_any_bytes_are_a_message_or_a_number(message: Message, data: st.DataObject) -> None:
-    """Random bytes, a message cut short, one with a byte changed: `FormError`, or a message that is whole."""
+    """Random bytes, a message cut short, one with a byte changed: rejected, or decoded to a
+    valid message."""
     good = pack("river", message)
     at = data.draw(st.integers(0, len(good) - 1))
     spoilt = good[:at] + bytes([data.draw(st.integers(0, 255))]) + good[at + 1 :]
@@ -56,29 +67,29 @@
         member = Membership("n0", "10.0.0.1:1", 1, (), Options(), 1, 0.0)
         try:
             heard = unpack("river", each)
-        except FormError as error:
+        except RejectedMessageError as error:
             assert error.kind in ("garbage", "other_cluster", "other_version")
             continue
         assert not isinstance(heard, leases.Message)
         member.receive(0.0, heard)
         member.turn(1.0)
-        assert all(len(pack("river", send.message)) < 2 * DATAGRAM for send in member.out)
+        assert all(len(pack("river", send.message)) < 2 * MAX_DATAGRAM_BYTES for send in member.out)
 
 
 def test_other_clusters_and_versions_are_told_apart_and_later_fields_passed_over() -> None:
     source = Source("n1", "10.0.0.1:1", 7, 0, 0)
     ping = Ping(1, source, "", ())
-    with pytest.raises(FormError, match="other_cluster"):
+    with pytest.raises(RejectedMessageError, match="other_cluster"):
         unpack("lake", pack("river", ping))
     body = msgspec.msgpack.decode(pack("river", ping))
     body[0] = VERSION + 1
-    with pytest.raises(FormError, match="other_version"):
+    with pytest.raises(RejectedMessageError, match="other_version"):
         unpack("river", msgspec.msgpack.encode(body))
     body[0] = VERSION
     body.append("a later field")
     body[2].append({"and": "another"})
     assert unpack("river", msgspec.msgpack.encode(body)) == ping
-    with pytest.raises(FormError, match="garbage"):
+    with pytest.raises(RejectedMessageError, match="garbage"):
         unpack("river", b"\x91" * 100_000)
 
 
@@ -86,11 +97,15 @@
     member = Membership("n" * 48, "255.255.255.255:65535", 2**32 - 1, (), Options(), 1, 0.0)
     for number in range(2 * NEWS_MOST):
         name = f"{number:064d}"
-        member._apply(News(name, "255.255.255.255:65535", 2**32 - 1, 2**20, State.ALIVE, name), 0.0, "")
+        member._apply(
+            MemberUpdate(name, "255.255.255.255:65535", 2**32 - 1, 2**20, State.ALIVE, name), 0.0, ""
+        )
     while member.deadline() < 3.0:
         member.turn(member.deadline())
-    sizes = [len(pack("c" * 64, send.message)) for send in member.out if not isinstance(send.message, Whole)]
-    assert len(sizes) > 20 and max(sizes) <= DATAGRAM
+    sizes = [
+        len(pack("c" * 64, send.message)) for send in member.out if not isinstance(send.message, FullState)
+    ]
+    assert len(sizes) > 20 and max(sizes) <= MAX_DATAGRAM_BYTES
 
 
 def test_all_faults_of_an_operator_file_are_told_at_once(tmp_path: Path) -> None:
@@ -99,8 +114,8 @@
         '[peers]\ncluster = ""\nlisten = "10.0.0.5"\nseeds = ["a"]\nperiod_ms = 2\nperod = 3\n[what]\n',
         encoding="utf-8",
     )
-    with pytest.raises(OperatorError) as found:
-        read(path)
+    with pytest.raises(OperatorFileError) as found:
+        read_operator_file(path)
     assert [line.split(": ")[1].split(" ")[0] for line in found.value.faults] == [
         "peers.cluster",
         "peers.period_ms",
@@ -156,12 +171,12 @@
 def test_what_else_an_operator_file_may_not_be(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text, encoding="utf-8")
-    with pytest.raises(OperatorError, match=says):
-        read(path)
+    with pytest.raises(OperatorFileError, match=says):
+        read_operator_file(path)
 
 
 def test_the_example_serves() -> None:
-    told = read(ROOT / "deploy" / "operator.example.toml")
+    told = read_operator_file(ROOT / "deploy" / "operator.example.toml")
     assert told.peers is not None and told.peers.address == "10.0.0.5:7946"
 
 
@@ -171,14 +186,14 @@
     async def play() -> None:
         (port,) = ports("127.0.0.1", 1)
         places = [f"127.0.0.{number}:{port}" for number in (1, 2)]
-        terms = Leases(voters=places[:1], length_ms=500, longest_ms=500, margin_ms=50)
+        terms = LeaseSettings(voters=places[:1], length_ms=500, longest_ms=500, margin_ms=50)
         nodes = [
-            Node(Peers(cluster="x", listen=place, seeds=places), f"n{number}", terms)
+            PeerNode(PeerSettings(cluster="x", listen=place, seeds=places), f"n{number}", terms)
             for number, place in enumerate(places)
         ]
         try:
             for node in nodes:
-                node.follow(Phase.READY)
+                node.on_phase_change(Phase.READY)
             holds = [node.hold("d") for node in nodes]
             async with asyncio.timeout(20.0):
                 won = [asyncio.create_task(hold.won()) for hold in holds]
@@ -208,7 +223,7 @@
 
     async def play() -> None:
         now: list[int | None] = [7]
-        hold = Hold("d", lambda: now[0], lambda heir: True)
+        hold = LeaseHandle("d", lambda: now[0], lambda heir: True)
         hold.tell(7)
         await asyncio.sleep(0)
         now[0] = None
