--- a/switchhub/lab/electorate.py
+++ b/switchhub/lab/electorate.py
@@ -15,9 +15,9 @@
 
 from switchhub.lab.history import Entry, faults
 from switchhub.lab.virtual import Net
-from switchhub.leases.messages import Who
-from switchhub.leases.rules import DRIFT, Terms
-from switchhub.leases.service import Leases
+from switchhub.leases.config import MAX_CLOCK_DRIFT, LeaseConfig
+from switchhub.leases.messages import ProcessIdentity
+from switchhub.leases.service import LeaseService
 
 LOOK = 0.005  # seconds between two looks at who holds
 DUTY = "d"
@@ -25,8 +25,8 @@
 LIMIT = 60.0  # seconds after which nobody is waited for any more
 
 
-class Electorate(Net[Leases]):
-    """So many voters, two candidates beside them; each clock is fast or slow by `DRIFT`."""
+class Electorate(Net[LeaseService]):
+    """So many voters, two candidates beside them; each clock is fast or slow by `MAX_CLOCK_DRIFT`."""
 
     def __init__(
         self, voters: int, seed: int, length: float = 3.0, loss: float = 0.0, names: int = 1
@@ -35,21 +35,21 @@
         self.voters = [f"v{number}" for number in range(voters)]
         self.names = [DUTY, *(f"x{number}" for number in range(names - 1))]
         addresses = tuple(f"a-{name}" for name in self.voters)
-        self.terms = Terms(addresses, length, length, min(0.15, length / 8))
+        self.terms = LeaseConfig(addresses, length, length, min(0.15, length / 8))
         self.history: list[Entry] = []
         self.holder, self._token = "", 0
         for key in (*self.voters, "c0", "c1"):
-            self.drift[key] = self.rng.choice((1 - DRIFT, 1 + DRIFT))
-            who = Who(key, self.rng.getrandbits(32), f"a-{key}")
-            self.all[key] = Leases(who, self.terms, self.rng.getrandbits(64), self.clock(key), 0)
+            self.drift[key] = self.rng.choice((1 - MAX_CLOCK_DRIFT, 1 + MAX_CLOCK_DRIFT))
+            who = ProcessIdentity(key, self.rng.getrandbits(32), f"a-{key}")
+            self.all[key] = LeaseService(who, self.terms, self.rng.getrandbits(64), self.clock(key), 0)
             if key.startswith("c"):
                 for name in self.names:
-                    self.all[key].want(name, self.clock(key))
+                    self.all[key].acquire(name, self.clock(key))
             self._after(key)
 
     def _holds(self, key: str) -> int | None:
         still = key not in self.down and self._busy.get(key, 0.0) <= self.now
-        return self.all[key].asker.held(DUTY, self.clock(key)) if still else None
+        return self.all[key].proposer.held_token(DUTY, self.clock(key)) if still else None
 
     def look(self) -> None:
         """Who acts now; one that is dead or stands still does not."""
@@ -103,7 +103,7 @@
     world = Electorate(voters, seed, names=names)
     world.kill("c1")
     world.run(SETTLES + 10)
-    held = [name for name in world.names if world.all["c0"].asker.held(name, world.clock("c0"))]
+    held = [name for name in world.names if world.all["c0"].proposer.held_token(name, world.clock("c0"))]
     assert len(held) == names, len(held)
     sent, size, used = world.sent, world.bytes, time.process_time()
     world.run(world.now + seconds)
@@ -125,7 +125,7 @@
                 for what in ("death", "stall", "cut"):
                     times = sorted(gap(voters, seed, what, length, loss) for seed in seeds)
                     cells.append(f"{median(times):.2f}, {times[-1]:.2f}")
-                least = length * 0.75 * (1 + DRIFT) / (1 - DRIFT)
+                least = length * 0.75 * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
                 print(
                     f"| {length:g} s | {voters} | {loss:.0%} | {' | '.join(cells)} | {least:.2f} |",
                     flush=True,
--- a/switchhub/lab/holders.py
+++ b/switchhub/lab/holders.py
@@ -13,14 +13,14 @@
 from collections.abc import Callable, Hashable, Iterator
 
 from switchhub.lab.explorer import spoilt
-from switchhub.leases.asker import Asker
-from switchhub.leases.messages import Send, Who
-from switchhub.leases.rules import DRIFT, Terms
+from switchhub.leases.config import MAX_CLOCK_DRIFT, LeaseConfig
+from switchhub.leases.messages import OutgoingMessage, ProcessIdentity
+from switchhub.leases.proposer import Proposer
 from switchhub.leases.voter import Voter
 
 STEP = 0.0625  # seconds of true time
 VOTERS = ("v0", "v1", "v2")
-TERMS = Terms(VOTERS, length=1.0, longest=1.0, margin=0.0625, reserve=0.25)
+TERMS = LeaseConfig(VOTERS, length=1.0, max_length=1.0, margin=0.0625, transfer_reservation=0.25)
 LATE = 20  # steps that a message may be late: longer than any lease
 STANDS = 20  # steps that a candidate may stand still
 CUT = 1.9  # lengths of a lease that a cut lasts: a candidate not heard, or split off with one voter
@@ -29,9 +29,9 @@
 FORGETS = (1, 6)  # steps that a voter is away before it is back and has forgotten
 AFTER = 34  # steps after the last trouble that are followed
 LEASE = "duty"
-Flight = tuple[int, str, Send]
+Flight = tuple[int, str, OutgoingMessage]
 MakeVoter = Callable[..., Voter]
-MakeAsker = Callable[..., Asker]
+MakeAsker = Callable[..., Proposer]
 
 
 class Duty:
@@ -43,8 +43,8 @@
         rates: dict[str, float],
         voter: MakeVoter,
         asker: MakeAsker,
-        terms: Terms = TERMS,
-        files: dict[str, Terms] | None = None,
+        terms: LeaseConfig = TERMS,
+        files: dict[str, LeaseConfig] | None = None,
     ) -> None:
         """`files` says which file a part has that has not `terms`; a voter that has one begins by it."""
         self.steps = self.calm = 0
@@ -59,19 +59,22 @@
         names = sorted({*VOTERS, *(self.files.keys() - {"a", "b"})})
         self.voters = {
             name: voter(
-                Who(name, 1, name), self.file(name), self.clock(name), None if name in self.files else 0
+                ProcessIdentity(name, 1, name),
+                self.file(name),
+                self.clock(name),
+                None if name in self.files else 0,
             )
             for name in names
         }
         self.askers = {
-            name: asker(Who(name, 1, name), self.file(name), number, self.clock(name))
+            name: asker(ProcessIdentity(name, 1, name), self.file(name), number, self.clock(name))
             for number, name in enumerate(("a", "b"))
         }
         for name, each in self.voters.items():
-            each.votes = name not in self.files
+            each.is_voting = name not in self.files
         for name, each_ in self.askers.items():
-            each_.want(LEASE, self.clock(name))
-        self.askers["b"].wants[LEASE].at += 2 * STEP
+            each_.acquire(LEASE, self.clock(name))
+        self.askers["b"].wanted[LEASE].next_attempt_at += 2 * STEP
         self.stands: dict[str, int] = {}  # candidates that stand still, until which step
         self.away: dict[str, int] = {}  # voters that are away, until which step
         self.token, self.holder = 0, ""  # of the last one that was seen to hold
@@ -80,11 +83,11 @@
         """Its own."""
         return self.steps * STEP * self.rates.get(name, 1.0)
 
-    def file(self, name: str) -> Terms:
+    def file(self, name: str) -> LeaseConfig:
         """What its operator file says."""
         return self.files.get(name, self.terms)
 
-    def refile(self, name: str, file: Terms) -> None:
+    def refile(self, name: str, file: LeaseConfig) -> None:
         """It is started again with another file."""
         self.budget["refile"] -= 1
         self.files = {**self.files, name: file}
@@ -111,10 +114,10 @@
                 del self.away[name]
                 self.lives += 1
                 self.voters[name] = self.make(
-                    Who(name, self.lives, name), self.file(name), self.clock(name), None
+                    ProcessIdentity(name, self.lives, name), self.file(name), self.clock(name), None
                 )
         before, self.flights = self.flights, []
-        due: list[tuple[str, Send]] = []
+        due: list[tuple[str, OutgoingMessage]] = []
         for at, (left, sender, send) in enumerate(before):
             what = wrong.get(at)
             if what in self.budget:
@@ -138,7 +141,7 @@
                 continue
             part = self.voters.get(address) or self.askers[address]
             part.receive(self.clock(address), message)
-        parts: dict[str, Voter | Asker] = {**self.voters, **self.askers}
+        parts: dict[str, Voter | Proposer] = {**self.voters, **self.askers}
         for name, part_ in parts.items():
             if name in self.away or name in self.stands:
                 continue
@@ -148,7 +151,7 @@
         for asker in self.askers.values():
             asker.events.clear()
         for voter in self.voters.values():
-            voter.news.clear()
+            voter.log_lines.clear()
         self._look()
 
     def _cut(self, sender: str, to: str) -> bool:
@@ -177,14 +180,14 @@
         else:
             heir = "b" if name == "a" else "a"
             asker.release(LEASE, now, *((heir, heir) if what == "pass" else ("", "")))
-            asker.want(LEASE, now if what == "again" else now + 0.5)
+            asker.acquire(LEASE, now if what == "again" else now + 0.5)
 
     def _look(self) -> None:
         """No two hold at one moment; a token is above all before it. Who stands still does nothing."""
         holds = {
             name: token
             for name, asker in self.askers.items()
-            if name not in self.stands and (token := asker.held(LEASE, self.clock(name))) is not None
+            if name not in self.stands and (token := asker.held_token(LEASE, self.clock(name))) is not None
         }
         if len(holds) > 1:
             self.wrong = f"both hold: {holds}"
@@ -206,14 +209,18 @@
         window: tuple[int, int] = (0, 12),
         rates: dict[str, float] | None = None,
         voter: MakeVoter = Voter,
-        asker: MakeAsker = Asker,
-        terms: Terms = TERMS,
-        files: dict[str, Terms] | None = None,
-        choices: tuple[Terms, ...] = (),
+        asker: MakeAsker = Proposer,
+        terms: LeaseConfig = TERMS,
+        files: dict[str, LeaseConfig] | None = None,
+        choices: tuple[LeaseConfig, ...] = (),
     ) -> None:
         """All that goes wrong begins in these steps. Without rates holders are as slow and voters as fast as
-        `DRIFT` allows."""
-        worst = {**dict.fromkeys(VOTERS, 1 + DRIFT), "a": 1 - DRIFT, "b": 1 - DRIFT}
+        `MAX_CLOCK_DRIFT` allows."""
+        worst = {
+            **dict.fromkeys(VOTERS, 1 + MAX_CLOCK_DRIFT),
+            "a": 1 - MAX_CLOCK_DRIFT,
+            "b": 1 - MAX_CLOCK_DRIFT,
+        }
         self._budget, self._window, self._rates = budget, window, worst if rates is None else rates
         self._voter, self._asker, self._terms = voter, asker, terms
         self._files, self._choices = files, choices
--- a/switchhub/leases/rules.py
+++ b/switchhub/leases/config.py
@@ -2,10 +2,10 @@
 
 Owns: these numbers and why they are safe. Must never: read a clock.
 
-Safety rests on this alone: clocks that count on while a machine sleeps (CLOCK_BOOTTIME) run at most `DRIFT`
-fast or slow. A holder counts `length` from when it *sent* its request, on its own clock: at most
-`length / (1 - DRIFT)` of true time. A voter keeps a grant from when it *got* the request for
-`length x (1 + DRIFT) / (1 - DRIFT)` on its own clock: at least `length / (1 - DRIFT)` of true time. So each
+Safety rests on this alone: clocks that count on while a machine sleeps (CLOCK_BOOTTIME) run at most
+`MAX_CLOCK_DRIFT` fast or slow. A holder counts `length` from when it *sent* its request, on its own clock: at
+most `length / (1 - drift)` of true time. A voter keeps a grant from when it *got* the request for
+`length x (1 + drift) / (1 - drift)` on its own clock: at least `length / (1 - drift)` of true time. So each
 voter that a holder counts on keeps its word longer than the holder acts, whatever was late, lost, doubled or
 overtaken on the way.
 
@@ -22,41 +22,41 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-DRIFT = 0.05  # part by which any clock may be fast or slow
-JUMP = 1 << 20  # by how much tokens are raised where some voters have forgotten theirs for good
+MAX_CLOCK_DRIFT = 0.05  # part by which any clock may be fast or slow
+TOKEN_JUMP = 1 << 20  # by how much tokens are raised where some voters have forgotten theirs for good
 NAMES_MOST = 10_000  # names that a voter keeps apart
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseConfig:
     """From the operator file; the same at all balancers."""
 
     voters: tuple[str, ...]  # addresses
     length: float = 3.0  # seconds of a lease
-    longest: float = 3.0  # seconds that any balancer's lease may have: what a voter waits that has forgotten
+    max_length: float = 3.0  # seconds, of any balancer's lease
     margin: float = 0.15  # seconds before its end at which a holder stops acting
-    reserve: float = 1.0  # seconds for which a name that is handed on is for its heir alone
-    before: tuple[str, ...] = ()  # the voters of before, while they are changed
-    counted: tuple[tuple[str, int], ...] = ()  # names that so many may hold: `NAME#0` and on, each a lease
+    transfer_reservation: float = 1.0  # seconds for which a name that is handed on is for its heir alone
+    previous_voters: tuple[str, ...] = ()  # the voters of before, while they are changed
+    slot_counts: tuple[tuple[str, int], ...] = ()  # names with several slots, `NAME#0` and on
 
     @property
     def sets(self) -> tuple[tuple[str, ...], ...]:
         """Of each of these a majority is needed."""
-        return _sets(self.voters, self.before)
+        return _sets(self.voters, self.previous_voters)
 
     @property
     def every(self) -> tuple[str, ...]:
         """All that have a vote."""
-        return tuple(dict.fromkeys((*self.voters, *self.before)))
+        return tuple(dict.fromkeys((*self.voters, *self.previous_voters)))
 
     @property
     def electorate(self) -> tuple[int, int]:
         """Who votes, as a number for each set, 0 where there is one: votes of different ones never add up."""
-        return number(self.voters), number(self.before)
+        return number(self.voters), number(self.previous_voters)
 
     def most(self, name: str) -> int:
         """How many may hold a counted name; 0 for any other."""
-        return dict(self.counted).get(name, 0)
+        return dict(self.slot_counts).get(name, 0)
 
     def stands(self, lease: str) -> bool:
         """Whether there is such a lease: of a counted name there are its slots alone."""
@@ -103,7 +103,7 @@
 
 def kept(length: float) -> float:
     """Seconds on a voter's clock for which it keeps its word."""
-    return length * (1 + DRIFT) / (1 - DRIFT)
+    return length * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
 
 
 def mark(lease: str, token: int) -> int:
--- a/switchhub/leases/asker.py
+++ b/switchhub/leases/proposer.py
@@ -14,21 +14,21 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from switchhub.leases.config import TOKEN_JUMP, LeaseConfig, mark
 from switchhub.leases.messages import (
-    Answer,
-    Ask,
-    Bid,
-    Drop,
-    Dropped,
     Message,
-    Pass,
-    Renew,
-    Renewed,
-    Send,
-    Told,
-    Who,
+    OutgoingMessage,
+    ProcessIdentity,
+    ProposeReply,
+    ProposeRequest,
+    ReleaseReply,
+    ReleaseRequest,
+    RenewReply,
+    RenewRequest,
+    StatusReply,
+    StatusRequest,
+    TransferNotice,
 )
-from switchhub.leases.rules import JUMP, Terms, mark
 from switchhub.membership.random_source import RandomSource
 
 WITHIN = 0.3  # seconds in which the voters' answers are due
@@ -67,10 +67,10 @@
     """One name."""
 
     lease: str
-    at: float  # when it is asked for, or when answers are overdue
+    next_attempt_at: float  # when it is asked for, or when answers are overdue
     asking: int = 0  # the number of the question that is out
     again: float = math.inf  # when who has not answered it is asked once more
-    told: dict[str, Told] = field(default_factory=dict)  # by voter, in this try
+    told: dict[str, StatusReply] = field(default_factory=dict)  # by voter, in this try
     bid: Votes | None = None  # what is out
     hold: Votes | None = None  # what is held
     first: int = 0  # the token under which it came to be held: raised ones are this hold's too
@@ -98,14 +98,14 @@
     seq: int = 0
 
 
-class Asker:
+class Proposer:
     """See the file's head."""
 
-    def __init__(self, me: Who, terms: Terms, seed: int, now: float) -> None:
+    def __init__(self, me: ProcessIdentity, terms: LeaseConfig, seed: int, now: float) -> None:
         self.me, self.terms = me, terms
-        self.out: list[Send] = []
+        self.out: list[OutgoingMessage] = []
         self.events: list[Event] = []
-        self.wants: dict[str, Want] = {}
+        self.wanted: dict[str, Want] = {}
         self.known: dict[str, int] = {}  # the highest token heard of, by name
         self._lot = RandomSource(seed)
         self._seq = 0
@@ -117,14 +117,14 @@
 
     # What is asked of it.
 
-    def want(self, lease: str, now: float) -> None:
+    def acquire(self, lease: str, now: float) -> None:
         """Hold it, as soon as that can be, for as long as that can be."""
-        if lease not in self.wants:
-            self.wants[lease] = Want(lease, now)
+        if lease not in self.wanted:
+            self.wanted[lease] = Want(lease, now)
 
     def release(self, lease: str, now: float, heir: str = "", address: str = "") -> None:
         """Let it go: to an heir, or to whoever asks. It is not held from this moment on."""
-        want = self.wants.pop(lease, None)
+        want = self.wanted.pop(lease, None)
         if want is None:
             return
         if want.bid is not None:
@@ -135,18 +135,18 @@
             self._free(lease, want.hold.token, heir, now)
             if address:
                 self._seq += 1
-                self._say(address, Pass(self._seq, self.me, lease, want.hold.token))
+                self._say(address, TransferNotice(self._seq, self.me, lease, want.hold.token))
 
-    def held(self, lease: str, now: float) -> int | None:
+    def held_token(self, lease: str, now: float) -> int | None:
         """Its token, if it is held at this moment; to be asked before each effect and after each wait."""
-        want = self.wants.get(lease)
+        want = self.wanted.get(lease)
         if want is None or want.hold is None or now >= want.hold.until:
             return None
         return want.hold.token
 
     def left(self, lease: str, now: float) -> float:
         """Seconds for which it is held still."""
-        want = self.wants.get(lease)
+        want = self.wanted.get(lease)
         return 0.0 if want is None or want.hold is None else max(0.0, want.hold.until - now)
 
     def _confirm(self, votes: Votes, voter: str, sent: float) -> None:
@@ -163,26 +163,26 @@
     def deadline(self) -> float:
         """When `turn` is due at the latest."""
         due = min(self._renew_at, self._renew_again)
-        for want in self.wants.values():
+        for want in self.wanted.values():
             if want.bid is not None:
                 due = min(due, want.bid.due, want.bid.again)
             if want.hold is not None:
                 due = min(due, want.hold.until)
             elif want.bid is None:
                 # Danger: named while a bid is out it lies in the past, and whoever waits for it spins.
-                due = min(due, want.at, want.again)
+                due = min(due, want.next_attempt_at, want.again)
         for gone in self._gone:
             due = min(due, gone.at)
         return due
 
     def turn(self, now: float) -> None:
         """Do what is due."""
-        for want in list(self.wants.values()):
+        for want in list(self.wanted.values()):
             if want.hold is not None and now >= want.hold.until:
                 self._lose(want, now)
             if want.bid is not None and now >= want.bid.due:
                 self._give_up(want, now)
-            elif want.hold is None and want.bid is None and now >= want.at:
+            elif want.hold is None and want.bid is None and now >= want.next_attempt_at:
                 if want.asking:
                     self._later(want, now, AGAIN)
                 else:
@@ -224,17 +224,17 @@
         """Try again after that, and a lot: candidates that wait alike meet again and again."""
         want.tries += 1
         want.asking, want.again, want.told = 0, math.inf, {}
-        want.at = now + wait + self._lot.random() * AGAIN * min(8, want.tries)
+        want.next_attempt_at = now + wait + self._lot.random() * AGAIN * min(8, want.tries)
 
     def _ask(self, want: Want, now: float) -> None:
         self._seq += 1
-        want.asking, want.at, want.told = self._seq, now + WITHIN, {}
+        want.asking, want.next_attempt_at, want.told = self._seq, now + WITHIN, {}
         want.again = now + ONCE_MORE
         for voter in self.terms.every:
             self._say_ask(voter, want)
 
     def _say_ask(self, voter: str, want: Want) -> None:
-        self._say(voter, Ask(want.asking, self.me, want.lease, self.known.get(want.lease, 0)))
+        self._say(voter, StatusRequest(want.asking, self.me, want.lease, self.known.get(want.lease, 0)))
 
     def _bid(self, want: Want, now: float, token: int) -> None:
         self._seq += 1
@@ -246,7 +246,9 @@
 
     def _say_bid(self, voter: str, lease: str, votes: Votes) -> None:
         length = round(self.terms.length * 1000)
-        self._say(voter, Bid(votes.seq, self.me, lease, votes.token, length, self.terms.electorate))
+        self._say(
+            voter, ProposeRequest(votes.seq, self.me, lease, votes.token, length, self.terms.electorate)
+        )
 
     def _give_up(self, want: Want, now: float) -> None:
         """No majority. Danger: while a former token is held, its voters must not be freed of the new one."""
@@ -266,11 +268,11 @@
         # Danger: a voter that does not hear it keeps the name for us with each renewal.
         gone.seq, gone.tries, gone.at = self._seq, gone.tries + 1, now + AGAIN * min(10, 1 + gone.tries)
         for voter in sorted(gone.left):
-            self._say(voter, Drop(gone.seq, self.me, gone.lease, gone.token, gone.heir))
+            self._say(voter, ReleaseRequest(gone.seq, self.me, gone.lease, gone.token, gone.heir))
 
     def _renew(self, now: float) -> None:
         """All that is held, in one message for each voter."""
-        holds = [want for want in self.wants.values() if want.hold is not None]
+        holds = [want for want in self.wanted.values() if want.hold is not None]
         self._renew_at = now + self.terms.length / 4 if holds else math.inf
         for seq, sent in list(self._renews.items()):
             if now - sent > self.terms.length:
@@ -292,7 +294,8 @@
         self._renews[self._seq] = now
         for voter in sorted(voters):
             self._say(
-                voter, Renew(self._seq, self.me, round(self.terms.length * 1000), self.terms.electorate)
+                voter,
+                RenewRequest(self._seq, self.me, round(self.terms.length * 1000), self.terms.electorate),
             )
 
     # Messages.
@@ -300,17 +303,17 @@
     def receive(self, now: float, message: Message) -> None:
         """A voter answers, or a holder hands on."""
         voter = message.source.address
-        if isinstance(message, Pass):
+        if isinstance(message, TransferNotice):
             self._hear_pass(message, now)
         elif voter not in self.terms.every:
             return
-        elif isinstance(message, Told):
+        elif isinstance(message, StatusReply):
             self._hear_told(message, voter, now)
-        elif isinstance(message, Answer):
+        elif isinstance(message, ProposeReply):
             self._hear_answer(message, voter, now)
-        elif isinstance(message, Renewed):
+        elif isinstance(message, RenewReply):
             self._hear_renewed(message, voter, now)
-        elif isinstance(message, Dropped):
+        elif isinstance(message, ReleaseReply):
             for gone in self._gone:
                 if gone.seq == message.seq:
                     gone.left.discard(voter)
@@ -318,17 +321,17 @@
     def _know(self, lease: str, token: int) -> None:
         self.known[lease] = max(token, self.known.get(lease, 0))
 
-    def _hear_told(self, message: Told, voter: str, now: float) -> None:
-        want = self.wants.get(message.lease)
+    def _hear_told(self, message: StatusReply, voter: str, now: float) -> None:
+        want = self.wanted.get(message.lease)
         self._know(message.lease, message.top)
         if want is None or not want.asking or want.asking != message.seq:
             return
         want.told[voter] = message
         told = want.told.values()
-        if self.terms.won({name for name, each in want.told.items() if each.votes and not each.holder}):
+        if self.terms.won({name for name, each in want.told.items() if each.is_voting and not each.holder}):
             self._bid(want, now, max(each.top for each in told) + 1)
             return
-        left = {name: each.left_ms / 1000 for name, each in want.told.items() if each.votes}
+        left = {name: each.left_ms / 1000 for name, each in want.told.items() if each.is_voting}
         rest = {name for name in self.terms.every if not left.get(name)}
         if not self.terms.won(rest) and self.terms.won(left):
             # Held, whatever the others say: ask when it may be over, and sooner, for it may be let go.
@@ -340,8 +343,8 @@
                 Event(want.lease, "taken", 0, next(each.holder for each in told if each.holder))
             )
 
-    def _hear_answer(self, message: Answer, voter: str, now: float) -> None:
-        want = self.wants.get(message.lease)
+    def _hear_answer(self, message: ProposeReply, voter: str, now: float) -> None:
+        want = self.wanted.get(message.lease)
         self._know(message.lease, message.top)
         if want is None:
             return
@@ -366,14 +369,14 @@
                 # A voter that has forgotten calls our token spent: on under a higher one, at all of them.
                 self._bid(want, now, self.known[want.lease] + 1)
 
-    def _hear_renewed(self, message: Renewed, voter: str, now: float) -> None:
+    def _hear_renewed(self, message: RenewReply, voter: str, now: float) -> None:
         sent = self._renews.get(message.seq)
         if sent is None:
             return
         self._unheard.discard(voter)
         if not self._unheard:
             self._renew_again = math.inf
-        mine = [(want, want.hold) for want in self.wants.values() if want.hold is not None]
+        mine = [(want, want.hold) for want in self.wanted.values() if want.hold is not None]
         there = [(want, hold) for want, hold in mine if voter in hold.yes]
         digest = sum(hold.mark for _, hold in there) % 2**62
         if digest == message.digest and len(there) == message.count:
@@ -392,11 +395,11 @@
             if want.bid is None:
                 self._say_bid(voter, want.lease, hold)
 
-    def _hear_pass(self, message: Pass, now: float) -> None:
-        want = self.wants.get(message.lease)
+    def _hear_pass(self, message: TransferNotice, now: float) -> None:
+        want = self.wanted.get(message.lease)
         if want is not None and want.hold is None and want.bid is None:
-            self._know(message.lease, min(message.token, self.known.get(message.lease, 0) + JUMP))
+            self._know(message.lease, min(message.token, self.known.get(message.lease, 0) + TOKEN_JUMP))
             self._bid(want, now, self.known[message.lease] + 1)
 
     def _say(self, voter: str, message: Message) -> None:
-        self.out.append(Send(voter, message))
+        self.out.append(OutgoingMessage(voter, message))
--- a/switchhub/leases/tokens.py
+++ b/switchhub/leases/token_file.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 
-class Tokens:
+class TokenFile:
     """The file of one balancer."""
 
     def __init__(self, folder: Path, name: str, electorate: tuple[int, int]) -> None:
--- a/switchhub/leases/voter.py
+++ b/switchhub/leases/voter.py
@@ -16,22 +16,22 @@
 import math
 from dataclasses import dataclass
 
+from switchhub.leases.config import NAMES_MOST, TOKEN_JUMP, LeaseConfig, kept, mark
 from switchhub.leases.messages import (
-    Answer,
-    Ask,
-    Bid,
-    Drop,
-    Dropped,
-    Learn,
-    Learnt,
     Message,
-    Renew,
-    Renewed,
-    Send,
-    Told,
-    Who,
+    OutgoingMessage,
+    ProcessIdentity,
+    ProposeReply,
+    ProposeRequest,
+    RecoveryReply,
+    RecoveryRequest,
+    ReleaseReply,
+    ReleaseRequest,
+    RenewReply,
+    RenewRequest,
+    StatusReply,
+    StatusRequest,
 )
-from switchhub.leases.rules import JUMP, NAMES_MOST, Terms, kept, mark
 
 RESERVE = 1 << 16  # tokens that are written down ahead
 AGAIN = 0.3  # seconds between two rounds of asking the other voters
@@ -54,8 +54,8 @@
 
     def __init__(
         self,
-        me: Who,
-        terms: Terms,
+        me: ProcessIdentity,
+        terms: LeaseConfig,
         now: float,
         floor: int | None = None,
         files: bool = False,
@@ -65,17 +65,17 @@
         it is where the electorate was not the `same`. With `files` no token is voted for above `bound`,
         which is written down before."""
         self.me, self.terms = me, terms
-        self.out: list[Send] = []
-        self.votes = False
+        self.out: list[OutgoingMessage] = []
+        self.is_voting = False
         self.floor = floor or 0  # of names that are not in `tops`
         self.tops: dict[str, int] = {}  # the highest token voted for, by name
         self.grants: dict[str, Grant] = {}
-        self.news: list[str] = []  # for the log
-        self.bound: float = -1 if files else math.inf
+        self.log_lines: list[str] = []  # for the log
+        self.token_limit: float = -1 if files else math.inf
         self._knows = floor is not None and same
-        self._learnt: dict[str, Learnt] = {}  # by voter
+        self._learnt: dict[str, RecoveryReply] = {}  # by voter
         self._why = ""  # it does not vote, as it was said last
-        self._learn_at = now + kept(terms.longest)  # until then it is silent
+        self._learn_at = now + kept(terms.max_length)  # until then it is silent
         self._seq = 0
         self._rounds: dict[tuple[str, int], int] = {}  # the last round of each holder
 
@@ -84,21 +84,21 @@
         """The highest token that this voter knows."""
         return max(self.floor, max(self.tops.values(), default=0))
 
-    def reserve(self) -> int | None:
+    def next_token_limit(self) -> int | None:
         """Up to which token has to be written down, if more than is: then `bound` is to be set to it.
 
         Danger: written before the tokens of the others are known, it would be taken for these next time."""
-        if not self.votes or self.top + RESERVE // 2 <= self.bound:
+        if not self.is_voting or self.top + RESERVE // 2 <= self.token_limit:
             return None
         return self.top + RESERVE
 
     def deadline(self) -> float:
         """When `turn` is due."""
-        return math.inf if self.votes else self._learn_at
+        return math.inf if self.is_voting else self._learn_at
 
     def turn(self, now: float) -> None:
         """Do what is due: one that has forgotten asks."""
-        if self.votes or now < self._learn_at:
+        if self.is_voting or now < self._learn_at:
             return
         others = [voter for voter in self.terms.every if voter != self.me.address]
         if self._knows or not others:
@@ -107,35 +107,37 @@
         self._learn_at = now + AGAIN
         self._seq += 1
         for voter in others:
-            self.out.append(Send(voter, Learn(self._seq, self.me)))
+            self.out.append(OutgoingMessage(voter, RecoveryRequest(self._seq, self.me)))
 
     def _begin(self, why: str) -> None:
-        self.votes = True
-        self.news.append(f"votes from now on, above token {self.floor}: {why}")
+        self.is_voting = True
+        self.log_lines.append(f"votes from now on, above token {self.floor}: {why}")
 
     def receive(self, now: float, message: Message) -> None:
         """Somebody says something."""
         source = message.source
-        if isinstance(message, Ask):
+        if isinstance(message, StatusRequest):
             self._ask(message, now)
-        elif isinstance(message, Bid):
+        elif isinstance(message, ProposeRequest):
             why = self._bid(message, now)
             top = self.tops.get(message.lease, self.floor)
-            answer = Answer(message.seq, self.me, message.lease, message.token, not why, top, why)
+            answer = ProposeReply(message.seq, self.me, message.lease, message.token, not why, top, why)
             self._say(source, answer)
-        elif isinstance(message, Renew):
+        elif isinstance(message, RenewRequest):
             self._renew(message, now)
-        elif isinstance(message, Drop):
+        elif isinstance(message, ReleaseRequest):
             self._drop(message, now)
-            self._say(source, Dropped(message.seq, self.me))
-        elif isinstance(message, Learn):
+            self._say(source, ReleaseReply(message.seq, self.me))
+        elif isinstance(message, RecoveryRequest):
             # Danger: one that waits still tells, for it may have learnt what nobody else remembers.
-            self._say(source, Learnt(message.seq, self.me, self.top, self.votes, self.terms.electorate))
-        elif isinstance(message, Learnt):
+            self._say(
+                source, RecoveryReply(message.seq, self.me, self.top, self.is_voting, self.terms.electorate)
+            )
+        elif isinstance(message, RecoveryReply):
             self._hear_learnt(message)
 
-    def _hear_learnt(self, message: Learnt) -> None:
-        if self.votes or message.seq != self._seq or message.source.address not in self.terms.every:
+    def _hear_learnt(self, message: RecoveryReply) -> None:
+        if self.is_voting or message.seq != self._seq or message.source.address not in self.terms.every:
             return
         self._learnt[message.source.address] = message
         told, others = self._learnt, [each for each in self.terms.every if each != self.me.address]
@@ -158,25 +160,28 @@
             self._begin("learnt from a majority of the others")
         elif all_told:
             highest = max([self.floor, *(each.top for each in told.values())])
-            self.floor = highest + JUMP if highest else 0
+            self.floor = highest + TOKEN_JUMP if highest else 0
             self._begin(f"{len(others) - len(remember)} other voters remember none either")
 
     def _waits(self, why: str) -> None:
         if why != self._why:
             self._why = why
-            self.news.append(f"does not vote: {why}")
+            self.log_lines.append(f"does not vote: {why}")
 
-    def _ask(self, message: Ask, now: float) -> None:
+    def _ask(self, message: StatusRequest, now: float) -> None:
         if message.known > self.top:  # a hint: it may only raise
-            self.floor = max(self.floor, min(message.known, self.top + JUMP))
+            self.floor = max(self.floor, min(message.known, self.top + TOKEN_JUMP))
         grant = self._live(message.lease, now)
         mine = grant is not None and (grant.heir == message.source.name or self._same(grant, message.source))
         holder = "" if grant is None or mine else grant.heir or grant.name
         left = 0 if grant is None or mine else max(0, round((grant.until - now) * 1000)) + 1
         top = self.tops.get(message.lease, self.floor)
-        self._say(message.source, Told(message.seq, self.me, message.lease, self.votes, holder, left, top))
+        self._say(
+            message.source,
+            StatusReply(message.seq, self.me, message.lease, self.is_voting, holder, left, top),
+        )
 
-    def _same(self, grant: Grant, who: Who) -> bool:
+    def _same(self, grant: Grant, who: ProcessIdentity) -> bool:
         return not grant.heir and grant.name == who.name and grant.life == who.life
 
     def _live(self, lease: str, now: float) -> Grant | None:
@@ -186,13 +191,13 @@
             return None
         return grant
 
-    def _bid(self, message: Bid, now: float) -> str:
+    def _bid(self, message: ProposeRequest, now: float) -> str:
         """Why not, or nothing."""
-        if not self.votes:
+        if not self.is_voting:
             return "does not vote yet"
         if not self.terms.serves(message.electorate):
             return "another electorate"
-        if message.length_ms > self.terms.longest * 1000:
+        if message.length_ms > self.terms.max_length * 1000:
             return "longer than a lease may be"
         if not self.terms.stands(message.lease):
             return "no such lease"
@@ -203,7 +208,7 @@
         again = grant is not None and self._same(grant, who) and grant.token == message.token
         if not again and message.token <= top:
             return "token spent"
-        if message.token > self.bound:
+        if message.token > self.token_limit:
             return "token not written down yet"
         if len(self.tops) >= NAMES_MOST and lease not in self.tops:
             self._prune(now)
@@ -223,13 +228,13 @@
             if self._live(lease, now) is None:
                 self.floor = max(self.floor, self.tops.pop(lease))
 
-    def _renew(self, message: Renew, now: float) -> None:
+    def _renew(self, message: RenewRequest, now: float) -> None:
         who = message.source
-        if not self.votes and not self.terms.kin(message.electorate):
+        if not self.is_voting and not self.terms.kin(message.electorate):
             # Danger: somebody holds by a majority of others that this voter has just been taken from.
-            self._learn_at = max(self._learn_at, now + kept(self.terms.longest))
+            self._learn_at = max(self._learn_at, now + kept(self.terms.max_length))
             self._waits(f"{who.name} holds by other voters: name them as `before`, here and everywhere")
-        if not self.terms.serves(message.electorate) or message.length_ms > self.terms.longest * 1000:
+        if not self.terms.serves(message.electorate) or message.length_ms > self.terms.max_length * 1000:
             return
         key = who.name, who.life
         if message.seq <= self._rounds.get(key, -1):
@@ -245,18 +250,18 @@
             self._rounds[key] = message.seq
         else:
             self._rounds.pop(key, None)
-        self._say(who, Renewed(message.seq, self.me, count, digest))
+        self._say(who, RenewReply(message.seq, self.me, count, digest))
 
-    def _drop(self, message: Drop, now: float) -> None:
+    def _drop(self, message: ReleaseRequest, now: float) -> None:
         """Danger: without the token in it a word of long ago would end a grant of today."""
         grant = self.grants.get(message.lease)
         if grant is None or not self._same(grant, message.source) or grant.token != message.token:
             return
         if message.heir:
             grant.heir = message.heir
-            grant.until = min(grant.until, now + self.terms.reserve)
+            grant.until = min(grant.until, now + self.terms.transfer_reservation)
         else:
             del self.grants[message.lease]
 
-    def _say(self, to: Who, message: Message) -> None:
-        self.out.append(Send(to.address, message))
+    def _say(self, to: ProcessIdentity, message: Message) -> None:
+        self.out.append(OutgoingMessage(to.address, message))
--- a/switchhub/peers/codec.py
+++ b/switchhub/peers/codec.py
@@ -6,7 +6,7 @@
 | version | what |
 | --- | --- |
 | 1 | membership: `Ping`, `IndirectPing`, `Ack`, `Nack`, `FullState` |
-| 1 | leases: `Ask` to `Learnt` (`leases/messages.py`); a process that has none counts them as `garbage` |
+| 1 | leases: all of `leases/messages.py`; a process that has none counts them as `garbage` |
 
 A further field at an array's end keeps the version; anything else raises it. Other versions are ignored.
 """
--- a/switchhub/peers/node.py
+++ b/switchhub/peers/node.py
@@ -28,10 +28,10 @@
 import uvloop
 from loguru import logger
 
-from switchhub.leases.messages import Who
-from switchhub.leases.rules import Terms
-from switchhub.leases.service import TOLD, Leases
-from switchhub.leases.tokens import Tokens
+from switchhub.leases.config import LeaseConfig
+from switchhub.leases.messages import ProcessIdentity
+from switchhub.leases.service import MAX_REPORTED_REMAINING_MS, LeaseService
+from switchhub.leases.token_file import TokenFile
 from switchhub.lifecycle.phase import Phase
 from switchhub.membership.messages import Ack, FullState, IndirectPing, Nack, Ping, State
 from switchhub.membership.swim import Change, Membership, Options
@@ -82,17 +82,17 @@
         )
         self._terms, self._tokens = None, None
         if leases is not None:
-            self._terms = Terms(
+            self._terms = LeaseConfig(
                 tuple(leases.voters),
                 leases.length_ms / 1000,
                 leases.longest_ms / 1000,
                 leases.margin_ms / 1000,
-                before=tuple(leases.before),
-                counted=tuple(leases.counted.items()),
+                previous_voters=tuple(leases.before),
+                slot_counts=tuple(leases.counted.items()),
             )
             if leases.folder:
-                self._tokens = Tokens(Path(leases.folder), name, self._terms.electorate)
-        self._leases: Leases | None = None
+                self._tokens = TokenFile(Path(leases.folder), name, self._terms.electorate)
+        self._leases: LeaseService | None = None
         self._holds: dict[str, LeaseHandle] = {}  # by parts of this balancer
         self.counts: Counter[str] = Counter()
         self._lock = threading.Lock()
@@ -136,7 +136,7 @@
 
     def _token(self, name: str) -> int | None:
         with self._lock:
-            return None if self._leases is None else self._leases.held(name, clock())
+            return None if self._leases is None else self._leases.held_token(name, clock())
 
     def _end(self, name: str, heir: str = "") -> bool:
         """A part of the balancer lets it go; whether that could be: not to somebody who is not there."""
@@ -171,7 +171,7 @@
         if method != "GET":
             return 405, "this path takes GET\n"
         with self._lock:
-            rows = [] if self._leases is None else self._leases.rows(clock())
+            rows = [] if self._leases is None else self._leases.lease_statuses(clock())
             return 200, json.dumps(rows, indent=1) + "\n"
 
     def _page_lease(self, verb: str, method: str, query: str) -> tuple[int, str]:
@@ -186,20 +186,20 @@
             if leases is None or core is None:
                 return 503, "not among the others yet\n"
             if verb == "hold":
-                leases.keep(name, now)
+                leases.hold_external(name, now)
             elif verb == "let-go":
-                leases.let_go(name, now)
+                leases.release_external(name, now)
             else:
                 member = core.members.get(heir)
                 if verb == "hand-on" and (member is None or member.latest.state is not State.ALIVE):
                     return 409, f"{heir!r} is nobody who is alive\n"
                 address = member.latest.address if member is not None else ""
-                if not leases.end(name, now, heir, address):
+                if not leases.request_release(name, now, heir, address):
                     return 409, f"{name!r} is not wanted here\n"
             self._loop.call_soon_threadsafe(self._turn)
             # Danger: who hears nothing more from us acts for so long; we release the name no sooner.
-            row = {**leases.row(name, now), "ends": leases.ends(name)}
-            row = {**row, "remaining_ms": min(int(str(row["remaining_ms"])), TOLD)}
+            row = {**leases.lease_status(name, now), "ends": leases.release_requested(name)}
+            row = {**row, "remaining_ms": min(int(str(row["remaining_ms"])), MAX_REPORTED_REMAINING_MS)}
             return 200, json.dumps(row) + "\n"
 
     def _rows(self) -> dict[str, object]:
@@ -244,7 +244,7 @@
             return
         with self._lock:
             if self._leases is not None:  # its successor may hold them at once
-                self._leases.leave(clock())
+                self._leases.release_internal(clock())
                 self._flush()
         self._shut()
 
@@ -252,7 +252,7 @@
         with self._lock:
             if self._core is not None and self._udp is not None:
                 if self._leases is not None:
-                    self._leases.leave(clock())
+                    self._leases.release_internal(clock())
                 self._core.leave(clock())
                 self._flush()
         self._loop.stop()
@@ -298,10 +298,10 @@
             seeds = tuple(self._told.seeds)
             self._core = Membership(self._name, self._told.address, life, seeds, self._options, seed, now)
             if self._terms is not None:
-                me, files = Who(self._name, life, self._told.address), self._tokens is not None
+                me, files = ProcessIdentity(self._name, life, self._told.address), self._tokens is not None
                 known = None if self._tokens is None else self._tokens.read()
                 floor, same = known or (None, True)
-                self._leases = Leases(me, self._terms, seed, now, floor, files, same)
+                self._leases = LeaseService(me, self._terms, seed, now, floor, files, same)
         self._udp = udp
         logger.info("peers: {} of {} at {}", self._name, self._told.cluster, self._told.listen)
         self._loop.add_reader(udp, self._readable)
@@ -371,7 +371,7 @@
                 self._core.turn(clock())
                 if self._leases is not None:
                     for name in self._holds:
-                        self._leases.want(name, clock())
+                        self._leases.acquire(name, clock())
                     self._leases.turn(clock())
                 self._flush()
 
@@ -392,16 +392,20 @@
         due = core.deadline()
         if leases is not None:
             voter = leases.voter
-            if self._tokens is not None and voter is not None and (top := voter.reserve()) is not None:
-                voter.bound = self._tokens.write(top, voter.bound)
+            if (
+                self._tokens is not None
+                and voter is not None
+                and (top := voter.next_token_limit()) is not None
+            ):
+                voter.token_limit = self._tokens.write(top, voter.token_limit)
             said, leases.out = leases.out, []
             for to, word in said:
                 self._send(to, word)
-            for line in leases.said:
+            for line in leases.log_lines:
                 logger.info("leases: {}", line)
-            leases.said.clear()
+            leases.log_lines.clear()
             for name, hold in self._holds.items():
-                hold.tell(leases.held(name, clock()))
+                hold.tell(leases.held_token(name, clock()))
             due = min(due, leases.deadline())
         if due == float("inf") or (self._timer is not None and self._timer_at <= due):
             return
