--- a/switchhub/decision/facade.py
+++ b/switchhub/decision/facade.py
@@ -13,8 +13,8 @@
 from typing import NamedTuple
 
 from switchhub.decision import interface as api
-from switchhub.decision.brain import Balancer
 from switchhub.decision.interface import Request, Result, Server, Settings
+from switchhub.decision.placement import Balancer
 
 TELL_EVERY = 900.0  # milliseconds: a server's delay is told once a second, somewhat less, while it is long
 TOLD_FROM = 1 / 3  # long: over this part of the shortest message aim
@@ -26,7 +26,7 @@
 
     server: str
     timeout: float
-    within: float = math.inf
+    send_within: float = math.inf
 
 
 class Refused(NamedTuple):
@@ -62,7 +62,7 @@
     request: str
     elapsed: float
     result: Result
-    over: bool
+    closed: bool
 
 
 class Left(NamedTuple):
@@ -85,21 +85,21 @@
     delay: float
 
 
-class Roster(NamedTuple):
+class ServerList(NamedTuple):
     """The list of servers, or changes to it."""
 
-    kind: api.RosterKind
+    kind: api.ServerListKind
     servers: tuple[Server, ...]
 
 
-class RosterLost(NamedTuple):
+class ServerListLost(NamedTuple):
     """A call to discovery failed or a watch broke."""
 
 
-News = Adopted | Up | Ended | Left | Load | Delay | Roster | RosterLost
+Observation = Adopted | Up | Ended | Left | Load | Delay | ServerList | ServerListLost
 
 
-class Chores(NamedTuple):
+class PendingActions(NamedTuple):
     """What the module wants done now."""
 
     moves: list[str]
@@ -127,7 +127,7 @@
         self._timers: list[tuple[float, int]] = []
         self._told: dict[str, float] = {}  # when a server's long delay was told last
         self._long = TOLD_FROM * min((each.message_aim for each in settings.classes), default=0.0)
-        self._chores = Chores([], False, [])
+        self._chores = PendingActions([], False, [])
         self._carry_out(now, self._balancer.start(now))
 
     def pick(self, now: float, request: Request) -> Pick:
@@ -143,12 +143,12 @@
             del self._held[request.id]
         return decision
 
-    def report(self, now: float, news: News) -> None:
+    def report(self, now: float, news: Observation) -> None:
         """Tell what was seen."""
-        if isinstance(news, Roster):
-            self._handle(now, api.RosterChanged(news.kind, news.servers))
-        elif isinstance(news, RosterLost):
-            self._handle(now, api.RosterFailed())
+        if isinstance(news, ServerList):
+            self._handle(now, api.ServerListChanged(news.kind, news.servers))
+        elif isinstance(news, ServerListLost):
+            self._handle(now, api.ServerListFailed())
         elif isinstance(news, Adopted):
             held = self._held[news.request.id] = _Held()
             held.attempt, held.server = 0, news.server
@@ -163,49 +163,51 @@
         elif isinstance(news, Left):
             self._handle(now, api.ClientLeft(news.request))
         elif isinstance(news, Load):
-            self._handle(now, api.LoadTold(news.request, held.attempt, held.server, news.load))
+            self._handle(now, api.LoadReported(news.request, held.attempt, held.server, news.load))
         elif isinstance(news, Delay):
             if self._worth_telling(now, held.server, news.delay):
-                self._handle(now, api.DelayTold(news.request, held.attempt, held.server, news.delay))
+                self._handle(now, api.DelayReported(news.request, held.attempt, held.server, news.delay))
         else:
-            if news.over:
+            if news.closed:
                 del self._held[news.request]
             self._handle(
                 now,
-                api.Outcome(news.request, held.attempt, held.server, news.over, news.elapsed, news.result),
+                api.AttemptEnded(
+                    news.request, held.attempt, held.server, news.closed, news.elapsed, news.result
+                ),
             )
 
-    def tick(self, now: float) -> Chores:
+    def tick(self, now: float) -> PendingActions:
         """Let timers fire; what is to be done since the last call."""
         while self._timers and self._timers[0][0] <= now:
             _, token = heapq.heappop(self._timers)
             self._handle(now, api.TimerFired(token))
-        chores, self._chores = self._chores, Chores([], False, [])
+        chores, self._chores = self._chores, PendingActions([], False, [])
         return chores
 
-    def targets(self, now: float) -> tuple[int, int]:
+    def server_counts(self, now: float) -> tuple[int, int]:
         """How many servers are listed, and how many of them get nothing new at present."""
-        return self._balancer.targets(now)
+        return self._balancer.server_counts(now)
 
-    def learnt(self) -> api.Learnt:
+    def learned_state(self) -> api.LearnedState:
         """What a new process of this balancer goes on with."""
-        return self._balancer.learnt()
+        return self._balancer.learned_state()
 
-    def learn(self, now: float, learnt: api.Learnt) -> None:
+    def restore_learned_state(self, now: float, state: api.LearnedState) -> None:
         """What a former process of this balancer knew."""
-        self._handle(now, learnt)
+        self._handle(now, state)
 
-    def drained(self, now: float) -> None:
+    def drain_started(self, now: float) -> None:
         """This balancer gives away what it holds, on purpose."""
-        self._handle(now, api.Drained())
+        self._handle(now, api.DrainStarted())
 
-    def restored(self, now: float) -> None:
+    def drain_ended(self, now: float) -> None:
         """It takes its part again."""
-        self._handle(now, api.Restored())
+        self._handle(now, api.DrainEnded())
 
-    def moved(self, now: float) -> None:
+    def discovery_changed(self, now: float) -> None:
         """The list is asked for elsewhere from now on."""
-        self._handle(now, api.RosterMoved())
+        self._handle(now, api.DiscoveryChanged())
 
     def _worth_telling(self, now: float, server: str, delay: float) -> bool:
         """As the wire tells it: once a second while long, and once more when it no longer is."""
@@ -225,7 +227,7 @@
             if isinstance(action, api.Attempt):
                 held = self._held[action.request]
                 held.attempt, held.server = held.attempt + 1, action.server
-                held.decision = Send(action.server, action.timeout, action.within)
+                held.decision = Send(action.server, action.timeout, action.send_within)
             elif isinstance(action, api.Refuse):
                 self._held[action.request].decision = Refused(action.retry_after)
             elif isinstance(action, api.Fail):
@@ -234,7 +236,7 @@
                 self._chores.moves.append(action.request)
             elif isinstance(action, api.SetTimer):
                 heapq.heappush(self._timers, (now + action.delay, action.token))
-            elif isinstance(action, api.WatchRoster):
+            elif isinstance(action, api.WatchServerList):
                 self._chores = self._chores._replace(watch=True)
             elif isinstance(action, api.Note):
                 self._chores.notes.append(action.text)
--- a/switchhub/decision/interface.py
+++ b/switchhub/decision/interface.py
@@ -22,7 +22,7 @@
     UNSAFE = "unsafe"
 
 
-class Scope(Enum):
+class KeyScope(Enum):
     """Which servers drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -30,7 +30,7 @@
     CELL = "cell"
 
 
-class State(Enum):
+class ServerState(Enum):
     """What the roster says of a server."""
 
     READY = "ready"
@@ -51,7 +51,7 @@
     NOT_SENT = "not_sent"
 
 
-class RosterKind(Enum):
+class ServerListKind(Enum):
     """How a roster event relates to the list already held."""
 
     CHANGES = "changes"
@@ -68,9 +68,9 @@
 
     name: str
     repeat: Repeat
-    scope: Scope
+    scope: KeyScope
     window: float
-    aim: float
+    setup_aim: float
     deadline: float
     worth: float
     message_aim: float
@@ -98,16 +98,16 @@
     retry_after_max: float
     """Longest wait that clients are given with a refusal; 0 where they are given none."""
     groups_share_work: bool
-    must_ask_roster: bool
-    ask_within: float
+    must_watch_server_list: bool
+    watch_retry_within: float
     cold_time: float
     cold_share: float
-    fall_multiple: float
-    fall_time: float
+    cold_budget_multiple: float
+    cold_budget_window: float
     over_share_worth: float
     probe_price: float
     move_price: float
-    crossing_price: float
+    cross_zone_price: float
 
 
 class Server(NamedTuple):
@@ -117,9 +117,9 @@
     zone: int
     kind: int
     cell: int
-    state: State
+    state: ServerState
     weight: float
-    born: float
+    started_at: float
 
 
 class Request(NamedTuple):
@@ -162,7 +162,7 @@
     elapsed: float
 
 
-class LoadTold(NamedTuple):
+class LoadReported(NamedTuple):
     """The present load of a connection."""
 
     request: str
@@ -171,7 +171,7 @@
     load: float
 
 
-class DelayTold(NamedTuple):
+class DelayReported(NamedTuple):
     """How long a message takes at a server now."""
 
     request: str
@@ -180,7 +180,7 @@
     delay: float
 
 
-class Outcome(NamedTuple):
+class AttemptEnded(NamedTuple):
     """The one end of an attempt; `closed` when the request is over with it."""
 
     request: str
@@ -197,18 +197,18 @@
     request: str
 
 
-class RosterChanged(NamedTuple):
+class ServerListChanged(NamedTuple):
     """The roster, or changes to it."""
 
-    kind: RosterKind
+    kind: ServerListKind
     servers: tuple[Server, ...]
 
 
-class RosterFailed(NamedTuple):
+class ServerListFailed(NamedTuple):
     """A roster call failed, or the subscription is lost; the held list stands."""
 
 
-class RosterMoved(NamedTuple):
+class DiscoveryChanged(NamedTuple):
     """The roster is asked for elsewhere from now on, and is at once; the held list stands until then."""
 
 
@@ -226,52 +226,52 @@
     report: Mapping[str, float]
 
 
-class Drained(NamedTuple):
+class DrainStarted(NamedTuple):
     """This balancer gives away what it holds, on purpose."""
 
 
-class Restored(NamedTuple):
+class DrainEnded(NamedTuple):
     """It takes its part again."""
 
 
-class ServerLearnt(NamedTuple):
+class LearnedServer(NamedTuple):
     """What is known of one server by experience; `sent`: while it is cold, when what was sent there."""
 
     server: str
-    luck: float
-    fails: int
-    aside_until: float
+    rounding_offset: float
+    failures: int
+    ejected_until: float
     limit: float
     limit_at: float
     sent: tuple[tuple[float, float], ...]
 
 
-class Learnt(NamedTuple):
+class LearnedState(NamedTuple):
     """What a former process of this balancer knew by experience; it holds for servers that are listed."""
 
     mean_hint: float
     setup_time: float
-    setup_spread: float
-    strain_at: float
-    servers: tuple[ServerLearnt, ...]
+    setup_deviation: float
+    overload_at: float
+    servers: tuple[LearnedServer, ...]
 
 
 Event = (
     RequestArrived
     | ConnectionAdopted
     | ConnectionUp
-    | LoadTold
-    | DelayTold
-    | Outcome
+    | LoadReported
+    | DelayReported
+    | AttemptEnded
     | ClientLeft
-    | RosterChanged
-    | RosterMoved
-    | RosterFailed
+    | ServerListChanged
+    | DiscoveryChanged
+    | ServerListFailed
     | TimerFired
     | ProbeAnswered
-    | Learnt
-    | Drained
-    | Restored
+    | LearnedState
+    | DrainStarted
+    | DrainEnded
 )
 
 
@@ -285,7 +285,7 @@
     request: str
     server: str
     timeout: float
-    within: float = math.inf
+    send_within: float = math.inf
 
 
 class Refuse(NamedTuple):
@@ -314,7 +314,7 @@
     delay: float
 
 
-class WatchRoster(NamedTuple):
+class WatchServerList(NamedTuple):
     """Ask for the roster's changes from now on."""
 
 
@@ -330,4 +330,4 @@
     text: str
 
 
-Action = Attempt | Refuse | Fail | Move | SetTimer | WatchRoster | Probe | Note
+Action = Attempt | Refuse | Fail | Move | SetTimer | WatchServerList | Probe | Note
--- a/switchhub/decision/brain.py
+++ b/switchhub/decision/placement.py
@@ -17,10 +17,11 @@
 from typing import Any
 
 from switchhub.decision.interface import (
-    Action, Attempt, ClientLeft, ConnectionAdopted, ConnectionUp, DelayTold, Drained, Event, Fail, Learnt,
-    LoadTold, Move, Note, Outcome, ProbeAnswered, Refuse, Repeat, Request, RequestArrived, Restored, Result,
-    RosterChanged, RosterFailed, RosterKind, RosterMoved, Scope, Server, ServerLearnt, Settings, SetTimer,
-    State, TimerFired, WatchRoster,
+    Action, Attempt, AttemptEnded, ClientLeft, ConnectionAdopted, ConnectionUp, DelayReported,
+    DiscoveryChanged, DrainEnded, DrainStarted, Event, Fail, KeyScope, LearnedServer, LearnedState,
+    LoadReported, Move, Note, ProbeAnswered, Refuse, Repeat, Request, RequestArrived, Result, Server,
+    ServerListChanged, ServerListFailed, ServerListKind, ServerState, SetTimer, Settings, TimerFired,
+    WatchServerList,
 )
 
 HINT_MEMORY = 1 / 64  # weight of the newest hint in the mean that stands in for a missing one
@@ -116,17 +117,18 @@
             self._near)
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             RequestArrived: self._on_request, ConnectionAdopted: self._on_adopted, ConnectionUp: self._on_up,
-            Outcome: self._on_outcome, ClientLeft: self._on_left, LoadTold: self._on_load,
-            DelayTold: self._on_delay, RosterChanged: self._on_roster, RosterFailed: self._on_roster_failed,
-            RosterMoved: self._on_roster_moved, TimerFired: self._on_timer,
-            Learnt: self._on_learnt, Drained: self._on_drained, Restored: self._on_restored,
+            AttemptEnded: self._on_outcome, ClientLeft: self._on_left, LoadReported: self._on_load,
+            DelayReported: self._on_delay, ServerListChanged: self._on_roster,
+            ServerListFailed: self._on_roster_failed,
+            DiscoveryChanged: self._on_roster_moved, TimerFired: self._on_timer,
+            LearnedState: self._on_learnt, DrainStarted: self._on_drained, DrainEnded: self._on_restored,
             ProbeAnswered: lambda _event: None,  # none is sent: told delays say the same, for nothing
         }
 
     def start(self, now: float) -> list[Action]:
         """The first actions, before any event."""
         self._now = self._asked_at = now
-        return [WatchRoster()] if self._settings.must_ask_roster else []
+        return [WatchServerList()] if self._settings.must_watch_server_list else []
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event; events of one moment come one by one, in their order."""
@@ -138,19 +140,19 @@
         """The design's sum of each known server, for tests and for whoever looks in."""
         return {node.id: node.total for node in self._nodes.values()}
 
-    def targets(self, now: float) -> tuple[int, int]:
+    def server_counts(self, now: float) -> tuple[int, int]:
         """How many servers are listed, and how many of them get nothing new: they drain or are set aside."""
-        listed = [node for node in self._nodes.values() if node.server.state is not State.GONE]
-        return len(listed), sum(node.server.state is not State.READY
+        listed = [node for node in self._nodes.values() if node.server.state is not ServerState.GONE]
+        return len(listed), sum(node.server.state is not ServerState.READY
                                 or (node.fails >= DOUBT and node.aside_until > now) for node in listed)
 
-    def learnt(self) -> Learnt:
+    def learned_state(self) -> LearnedState:
         """What a new process of this balancer goes on with."""
-        return Learnt(self._mean_hint, self._setup_time, self._setup_spread, self._strain_at, tuple(
-            ServerLearnt(node.id, node.luck, node.fails, node.aside_until, node.limit, node.limit_at,
+        return LearnedState(self._mean_hint, self._setup_time, self._setup_spread, self._strain_at, tuple(
+            LearnedServer(node.id, node.luck, node.fails, node.aside_until, node.limit, node.limit_at,
                          tuple(node.sent)) for node in self._nodes.values()))
 
-    def _on_learnt(self, event: Learnt) -> None:
+    def _on_learnt(self, event: LearnedState) -> None:
         """Danger: knowing no limits it fills slow servers as others; cold ones get what both send."""
         self._mean_hint, self._setup_time, self._setup_spread, self._strain_at, servers = event
         for each in servers:
@@ -158,13 +160,13 @@
                 node.luck, node.fails, node.aside_until, node.limit, node.limit_at = each[1:6]
                 node.sent = deque(each.sent)
 
-    def _on_drained(self, _event: Drained) -> None:
+    def _on_drained(self, _event: DrainStarted) -> None:
         """Our part of each server, as it is now and as it is when another balancer drains in its turn."""
         others = max(1, self._settings.fleet_size - 1)
         for node in self._nodes.values():
             node.part = node.total * (others + 1) / others
 
-    def _on_restored(self, _event: Restored) -> None:
+    def _on_restored(self, _event: DrainEnded) -> None:
         """Danger: what is held falls in a drain, on purpose; as a limit it refuses whom others move."""
         for node in self._nodes.values():
             node.limit, node.limit_at = math.inf, 0.0
@@ -184,7 +186,7 @@
         node = self._nodes.get(event.server)
         if node is None:  # it stands somewhere that our list does not name: count it, send nothing there
             node = self._nodes[event.server] = _Node(
-                Server(event.server, -1, 0, -1, State.GONE, 1.0, 0.0), self._rng.random())
+                Server(event.server, -1, 0, -1, ServerState.GONE, 1.0, 0.0), self._rng.random())
         conn = _Conn(event.request, self._settings, self._load_of(event.request), math.inf)
         conn.attempts, conn.up = 1, True
         self._conns[event.request.id] = conn
@@ -239,14 +241,14 @@
         self._setup_time += gain * (event.elapsed - self._setup_time)
         node = conn.node
         node.pending -= 1
-        if node.server.state is State.DRAINING:
+        if node.server.state is ServerState.DRAINING:
             self._out.append(Move(event.request))
         if node.fails:
             node.fails, node.aside_until = node.fails - 1, self._now
             if node.fails == DOUBT - 1:
                 self._out.append(Note(f"server {node.id} serves again"))
 
-    def _on_outcome(self, event: Outcome) -> None:
+    def _on_outcome(self, event: AttemptEnded) -> None:
         conn = self._live(event.request, event.attempt)
         if conn is None or conn.node is None:
             return
@@ -296,9 +298,9 @@
             where, _ = conn.ran
             if conn.kind.repeat is Repeat.UNSAFE or self._window(conn) <= 0:
                 return []
-            if conn.kind.scope is Scope.ZONE:
+            if conn.kind.scope is KeyScope.ZONE:
                 nodes = [node for node in nodes if node.server.zone == where.zone]
-            elif conn.kind.scope is Scope.CELL:
+            elif conn.kind.scope is KeyScope.CELL:
                 nodes = [node for node in nodes if node.server.cell == where.cell]
         if self._cold:  # rule 4
             self._cold = [node for node in self._cold if self._cold_age(node) is not None]
@@ -349,7 +351,7 @@
         """Rule 2: whether the client may be told that trying again is harmless."""
         kind = conn.kind
         return conn.ran is None or kind.repeat is Repeat.SAFE or (
-            kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL and self._window(conn) > 0)
+            kind.repeat is Repeat.KEYED and kind.scope is KeyScope.ALL and self._window(conn) > 0)
 
     # The exceptions, in their order. Each returns the candidates that remain; nobody left: it is passed over.
 
@@ -383,7 +385,7 @@
         if self._now - self._strain_at >= LIMIT_HOLD or len(self._conns) > len(self._ready):
             return nodes
         return [node for node in nodes
-                if len(node.held) > node.pending or node.limit != math.inf or node.server.born]
+                if len(node.held) > node.pending or node.limit != math.inf or node.server.started_at]
 
     def _renewed(self, conn: _Conn, nodes: list[_Node]) -> list[_Node]:
         """Danger: most sums of a thin balancer are nothing, at old servers that carry what left with others
@@ -397,7 +399,7 @@
         part = whole * (len(self._new) - missing) / (len(self._ready) - missing)
         if held + conn.load > part + self._lot * conn.load:
             return nodes
-        return [node for node in nodes if node.server.born]
+        return [node for node in nodes if node.server.started_at]
 
     def _near(self, conn: _Conn, nodes: list[_Node]) -> list[_Node]:
         """Danger: crossing costs on each message, and sums closer than their own noise tell nothing apart."""
@@ -437,7 +439,7 @@
         part = self._settings.tenants[tenant].connections / self._quota
         return self._standing[tenant] > part * sum(self._standing)
 
-    def _on_delay(self, event: DelayTold) -> None:
+    def _on_delay(self, event: DelayReported) -> None:
         """Danger: a crowded server keeps its share. What it holds when it tells of strain is its limit."""
         if (node := self._nodes.get(event.server)) is None:
             return
@@ -496,8 +498,8 @@
 
     def _cold_age(self, node: _Node) -> float | None:
         """Time since the start of a server that may still be cold."""
-        age = self._now - node.server.born
-        return max(age, 0.0) if node.server.born and age < self._settings.cold_time else None
+        age = self._now - node.server.started_at
+        return max(age, 0.0) if node.server.started_at and age < self._settings.cold_time else None
 
     def _warm_peers(self) -> dict[int | None, float]:
         """What a warm peer of each kind, and of any, carries on average: our part of what a cold one will do.
@@ -519,9 +521,10 @@
         share = self._power(node)
         if node.total + conn.load > peer * share + node.luck * conn.load:
             return False
-        while sent and sent[0][0] <= self._now - settings.fall_time:
+        while sent and sent[0][0] <= self._now - settings.cold_budget_window:
             sent.popleft()
-        budget = settings.fall_multiple * share * peer * settings.fall_time / settings.cold_time
+        budget = (
+            settings.cold_budget_multiple * share * peer * settings.cold_budget_window / settings.cold_time)
         return sum([each for _, each in sent]) + push <= budget + node.luck * push
 
     def _power(self, node: _Node) -> float:
@@ -537,17 +540,17 @@
 
     def _on_timer(self, _event: TimerFired) -> None:
         self._asked_at = self._now
-        self._out.append(WatchRoster())
+        self._out.append(WatchServerList())
 
-    def _on_roster(self, event: RosterChanged) -> None:
+    def _on_roster(self, event: ServerListChanged) -> None:
         self._asked_at = self._now
-        if event.kind not in (RosterKind.REMEMBERED, RosterKind.LEAVING):
+        if event.kind not in (ServerListKind.REMEMBERED, ServerListKind.LEAVING):
             self._watching, self._asks_failed, self._queued = True, 0, False
-        if event.kind not in (RosterKind.CHANGES, RosterKind.LEAVING):
+        if event.kind not in (ServerListKind.CHANGES, ServerListKind.LEAVING):
             named = {server.id for server in event.servers}
             for node in self._nodes.values():
                 if node.id not in named:
-                    node.server = node.server._replace(state=State.GONE)
+                    node.server = node.server._replace(state=ServerState.GONE)
         for server in event.servers:
             known = self._nodes.get(server.id)
             if known is None:
@@ -555,21 +558,21 @@
             else:
                 known.server = server
         self._nodes = {node.id: node for node in self._nodes.values()
-                       if node.server.state is not State.GONE or node.held}
-        self._ready = [node for node in self._nodes.values() if node.server.state is State.READY]
-        self._new = [node for node in self._ready if node.server.born]
+                       if node.server.state is not ServerState.GONE or node.held}
+        self._ready = [node for node in self._nodes.values() if node.server.state is ServerState.READY]
+        self._new = [node for node in self._ready if node.server.started_at]
         self._cold = [node for node in self._new if self._cold_age(node) is not None]
-        leaving = [conn for node in self._nodes.values() if node.server.state is State.DRAINING
+        leaving = [conn for node in self._nodes.values() if node.server.state is ServerState.DRAINING
                    for conn in node.held.values() if conn.up and not conn.moving]
         for conn in leaving:  # Danger: what still stands on a server when it goes is cut off, all at once
             conn.moving = True
             self._out.append(Move(conn.request.id))
 
-    def _on_roster_moved(self, _event: RosterMoved) -> None:
+    def _on_roster_moved(self, _event: DiscoveryChanged) -> None:
         """Danger: failures of one queue put off the calls to another, past what it counts as having told."""
         self._watching, self._asks_failed, self._queued, self._asked_at = False, 0, False, self._now
 
-    def _on_roster_failed(self, _event: RosterFailed) -> None:
+    def _on_roster_failed(self, _event: ServerListFailed) -> None:
         """Danger: discovery is one queue for all; calls given up still fill it, and repeated at once none is
         served again. Nor while most of that queue is made of calls given up: after a failure that took long
         the next call waits that out, and from the fourth on each doubles the wait, by lot. But what it knows
@@ -581,13 +584,13 @@
         self._watching = False
         failed = min(self._asks_failed, 9)
         if self._queued and failed > TRIES:  # no longer than all would take, one after another
-            most = min(3 * self._settings.ask_within, ASK_WORK * self._settings.fleet_size)
+            most = min(3 * self._settings.watch_retry_within, ASK_WORK * self._settings.fleet_size)
             wait = min(ASK_MOST * 2 ** (failed - 2), max(ASK_MOST, most))
         else:
             wait = ASK_MOST if self._queued else min(ASK_AGAIN * 2 ** (failed - 1), ASK_MOST)
         self._out.append(SetTimer(ROSTER_TIMER, wait * self._rng.uniform(0.3, 1.0)))
 
-    def _on_load(self, event: LoadTold) -> None:
+    def _on_load(self, event: LoadReported) -> None:
         """Danger: a hint is rough and usual; where the present load is told, that counts in its place."""
         conn = self._live(event.request, event.attempt)
         if conn is not None and conn.node is not None:
--- a/switchhub/handover/link.py
+++ b/switchhub/handover/link.py
@@ -253,7 +253,9 @@
             elif kind == "yours" and self._node.serving:
                 self.known.set()  # late: what was learnt here is newer, with what both sent to cold servers
             elif kind == "yours":
-                self._node.facade.learn(self._node.clock(), messages.decode_learnt(values.get("learnt")))
+                self._node.facade.restore_learned_state(
+                    self._node.clock(), messages.decode_learnt(values.get("learnt"))
+                )
                 self.known.set()
             elif kind == "pass" and len(sockets) == 2:
                 if self.side is not None:
@@ -356,7 +358,9 @@
         address, listing = node.discovery.whole()
         self.send(messages.encode_message("known", discovery="{}:{}".format(*address), listing=listing))
         self.tell()
-        self.send(messages.encode_message("yours", learnt=messages.encode_learnt(node.facade.learnt())))
+        self.send(
+            messages.encode_message("yours", learnt=messages.encode_learnt(node.facade.learned_state()))
+        )
 
     def tell(self) -> None:
         """What has changed among the connections held since the last time."""
@@ -381,14 +385,16 @@
         if self.side is None or now - self._sent_at < SENT_EVERY:
             return
         self._sent_at = now
-        mine = {(each.server, *sent) for each in self._node.facade.learnt().servers for sent in each.sent}
+        mine = {
+            (each.server, *sent) for each in self._node.facade.learned_state().servers for sent in each.sent
+        }
         new = [each for each in sorted(mine - self._sent) if math.isfinite(each[2])]
         self._sent = mine
         if new:
             self.send(messages.encode_message("sent", servers=new))
 
     def _merge_sent(self, told: list[tuple[str, float, float]]) -> None:
-        learnt = self._node.facade.learnt()
+        learnt = self._node.facade.learned_state()
         news: dict[str, set[tuple[float, float]]] = {}
         for server, at, push in told:
             news.setdefault(server, set()).add((at, push))
@@ -399,7 +405,7 @@
             for each in learnt.servers
         )
         self._sent.update(told)
-        self._node.facade.learn(self._node.clock(), learnt._replace(servers=servers))
+        self._node.facade.restore_learned_state(self._node.clock(), learnt._replace(servers=servers))
 
     def all_sent(self) -> bool:
         """Whether the other has taken everything.
--- a/switchhub/handover/messages.py
+++ b/switchhub/handover/messages.py
@@ -22,7 +22,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from switchhub.decision.interface import Learnt, Request, ServerLearnt
+from switchhub.decision.interface import LearnedServer, LearnedState, Request
 
 PROTOCOL_VERSION = 1
 CHUNK = 64  # connections in one message
@@ -142,24 +142,24 @@
         raise MessageError(f"pass: {type(error).__name__}: {error}") from None
 
 
-def encode_learnt(learnt: Learnt) -> list[Any]:
+def encode_learnt(learnt: LearnedState) -> list[Any]:
     """What the module has learnt."""
     return [*learnt[:-1], [[*each[:-1], list(each.sent)] for each in learnt.servers]]
 
 
-def decode_learnt(row: Any) -> Learnt:
+def decode_learnt(row: Any) -> LearnedState:
     """The same, read."""
     try:
         hint, time, spread, strain_at, servers = row
         known = tuple(_server_learnt(each) for each in servers)
-        return Learnt(float(hint), float(time), float(spread), float(strain_at), known)
+        return LearnedState(float(hint), float(time), float(spread), float(strain_at), known)
     except (TypeError, ValueError) as error:
         raise MessageError(f"learnt: {type(error).__name__}: {error}") from None
 
 
-def _server_learnt(row: Any) -> ServerLearnt:
+def _server_learnt(row: Any) -> LearnedServer:
     name, luck, fails, aside_until, limit, limit_at, sent = row
-    return ServerLearnt(
+    return LearnedServer(
         str(name),
         float(luck),
         int(fails),
--- a/switchhub/handover/receiver.py
+++ b/switchhub/handover/receiver.py
@@ -106,9 +106,9 @@
     def _take_nothing_for_granted(self, node: Listener) -> None:
         """Danger: what the old process sent to a cold server is unknown, and both together push it over: all
         of its budget counts as spent now."""
-        learnt, now = node.facade.learnt(), node.clock()
+        learnt, now = node.facade.learned_state(), node.clock()
         servers = tuple(each._replace(sent=((now, math.inf),)) for each in learnt.servers)
-        node.facade.learn(now, learnt._replace(servers=servers))
+        node.facade.restore_learned_state(now, learnt._replace(servers=servers))
 
     async def _follow(self, link: ProcessLink) -> None:
         try:
--- a/switchhub/lab/baselines.py
+++ b/switchhub/lab/baselines.py
@@ -15,20 +15,29 @@
 
 from switchhub.decision.facade import (
     Adopted,
-    Chores,
     Ended,
     Facade,
     Failed,
     Left,
-    News,
+    Observation,
+    PendingActions,
     Pick,
     Refused,
-    Roster,
-    RosterLost,
     Send,
+    ServerList,
+    ServerListLost,
     Up,
 )
-from switchhub.decision.interface import Repeat, Request, Result, RosterKind, Scope, Server, Settings, State
+from switchhub.decision.interface import (
+    KeyScope,
+    Repeat,
+    Request,
+    Result,
+    Server,
+    ServerListKind,
+    ServerState,
+    Settings,
+)
 from switchhub.lab.stand_in import StandIn
 
 NEVER_RAN = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})
@@ -46,10 +55,10 @@
     def pick(self, now: float, request: Request) -> Pick:
         """Where a request goes, or its final answer."""
 
-    def report(self, now: float, news: News) -> None:
+    def report(self, now: float, news: Observation) -> None:
         """Tell what was seen."""
 
-    def tick(self, now: float) -> Chores:
+    def tick(self, now: float) -> PendingActions:
         """What is to be done."""
 
 
@@ -112,13 +121,13 @@
         self._hold(held, chosen)
         return Send(chosen, (held.until - now) / left)
 
-    def report(self, now: float, news: News) -> None:
+    def report(self, now: float, news: Observation) -> None:
         """Tell what was seen."""
         self.now = now
-        if isinstance(news, Roster):
+        if isinstance(news, ServerList):
             self._on_roster(news)
-        elif isinstance(news, RosterLost):
-            self._ask_at = now + self.settings.ask_within * ASK_PART
+        elif isinstance(news, ServerListLost):
+            self._ask_at = now + self.settings.watch_retry_within * ASK_PART
         elif isinstance(news, Adopted):
             held = self._held[news.request.id] = _Held(news.request, news.request.hint or 0.0, 0.0)
             held.up = True
@@ -126,46 +135,46 @@
         elif isinstance(news, Up):
             held = self._held[news.request]
             held.up = True
-            if self._state(held.server) is State.DRAINING:
+            if self._state(held.server) is ServerState.DRAINING:
                 self._moves.append(news.request)
         elif isinstance(news, Ended):
             self._on_ended(now, news)
         elif isinstance(news, Left):
             self._held[news.request].until = 0.0
 
-    def tick(self, now: float) -> Chores:
+    def tick(self, now: float) -> PendingActions:
         """What is to be done."""
         watch = self._ask_at is not None and self._ask_at <= now
         if watch:
             self._ask_at = None
         moves, self._moves = self._moves, []
-        return Chores(moves, watch, [])
+        return PendingActions(moves, watch, [])
 
     def _on_ended(self, now: float, news: Ended) -> None:
         held = self._held[news.request]
         self.sums[held.server] -= held.load
         self.counts[held.server] -= 1
-        if news.over or held.up:
+        if news.closed or held.up:
             del self._held[news.request]
         elif held.first is None and news.result not in NEVER_RAN:
             held.first = (self.servers[held.server], now - news.elapsed)
 
-    def _on_roster(self, news: Roster) -> None:
-        if news.kind is RosterKind.WHOLE:
+    def _on_roster(self, news: ServerList) -> None:
+        if news.kind is ServerListKind.WHOLE:
             named = {each.id for each in news.servers}
             for name in self.servers.keys() - named:
-                self.servers[name] = self.servers[name]._replace(state=State.GONE)
+                self.servers[name] = self.servers[name]._replace(state=ServerState.GONE)
         for each in news.servers:
             self.servers[each.id] = each
             self.sums.setdefault(each.id, 0.0)
             self.counts.setdefault(each.id, 0)
-        self.ready = [name for name, each in self.servers.items() if each.state is State.READY]
-        leaving = {each.id for each in news.servers if each.state is State.DRAINING}
+        self.ready = [name for name, each in self.servers.items() if each.state is ServerState.READY]
+        leaving = {each.id for each in news.servers if each.state is ServerState.DRAINING}
         if leaving:
             self._moves += [name for name, each in self._held.items() if each.up and each.server in leaving]
 
-    def _state(self, server: str) -> State:
-        return self.servers[server].state if server in self.servers else State.GONE
+    def _state(self, server: str) -> ServerState:
+        return self.servers[server].state if server in self.servers else ServerState.GONE
 
     def _hold(self, held: _Held, server: str) -> None:
         held.server = server
@@ -177,7 +186,7 @@
         return (
             held.first is None
             or kind.repeat is Repeat.SAFE
-            or (kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL)
+            or (kind.repeat is Repeat.KEYED and kind.scope is KeyScope.ALL)
         )
 
     def _lawful(self, now: float, held: _Held) -> list[str]:
@@ -189,9 +198,9 @@
             where, sent = held.first
             if kind.repeat is Repeat.UNSAFE or now - sent >= kind.window:
                 return []
-            if kind.scope is Scope.ZONE:
+            if kind.scope is KeyScope.ZONE:
                 names = [each for each in names if self.servers[each].zone == where.zone]
-            elif kind.scope is Scope.CELL:
+            elif kind.scope is KeyScope.CELL:
                 names = [each for each in names if self.servers[each].cell == where.cell]
         return [each for each in names if each not in held.tried] or names
 
@@ -264,7 +273,7 @@
             self._truth.reserved[best] += load
         return best
 
-    def report(self, now: float, news: News) -> None:
+    def report(self, now: float, news: Observation) -> None:
         """Tell what was seen."""
         if isinstance(news, (Up, Ended)):
             name, load = self._reserved.pop(news.request, ("", 0.0))
@@ -272,7 +281,7 @@
                 self._truth.reserved[name] -= load
         super().report(now, news)
 
-    def tick(self, now: float) -> Chores:
+    def tick(self, now: float) -> PendingActions:
         """What is to be done: also what is to be moved."""
         if now - self._looked >= LOOK_EVERY:
             self._looked = now
--- a/switchhub/lab/earlier.py
+++ b/switchhub/lab/earlier.py
@@ -17,7 +17,7 @@
 
 from switchhub.decision import facade as ours
 from switchhub.decision import interface
-from switchhub.decision.facade import Chores, News, Pick
+from switchhub.decision.facade import Observation, PendingActions, Pick
 from switchhub.decision.interface import Request, Settings
 from switchhub.lab.baselines import Decider
 from switchhub.lab.model import Maker, Run
@@ -56,13 +56,13 @@
         pick: Pick = kind(*found)
         return pick
 
-    def report(self, now: float, news: News) -> None:
+    def report(self, now: float, news: Observation) -> None:
         """Tell what was seen."""
         self._inner.report(now, self._theirs(news))
 
-    def tick(self, now: float) -> Chores:
+    def tick(self, now: float) -> PendingActions:
         """What is to be done."""
-        return Chores(*self._inner.tick(now))
+        return PendingActions(*self._inner.tick(now))
 
     def _theirs(self, value: Any) -> Any:
         if isinstance(value, Enum):
--- a/switchhub/lab/model.py
+++ b/switchhub/lab/model.py
@@ -16,8 +16,8 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from switchhub.decision.facade import Adopted, Delay, Ended, Refused, Roster, RosterLost, Send, Up
-from switchhub.decision.interface import Request, Result, RosterKind, Server, Settings, State
+from switchhub.decision.facade import Adopted, Delay, Ended, Refused, Send, ServerList, ServerListLost, Up
+from switchhub.decision.interface import Request, Result, Server, ServerListKind, ServerState, Settings
 from switchhub.lab import told
 from switchhub.lab.baselines import BASELINES, Decider, Oracle
 from switchhub.lab.judge import Broken, Judge
@@ -41,7 +41,7 @@
 KILL_SPARE = 0.7  # seconds past the longest deadline at which a stopping balancer is killed
 FRONT_OUT = 0.3  # seconds in which new connections still reach a balancer that stops
 ASK_FAILS, ASK_SILENT, WATCH_SILENT = 0.005, 1.5, 11.5  # seconds until a call to discovery counts as failed
-STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 SEEDS = 1 << 62
 
 Maker = Callable[[Settings, int, float, "Run", int], Decider]
@@ -240,16 +240,16 @@
                 self.run.tally.event(self.run.now, "ends.silent")
                 self.move(conn.id, Result.TIMEOUT)
 
-    def lists(self, kind: RosterKind, servers: tuple[Server, ...]) -> None:
+    def lists(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
         """Discovery's answer has come."""
-        if kind is RosterKind.WHOLE:
+        if kind is ServerListKind.WHOLE:
             self.ready.clear()
         for each in servers:
-            if each.state is State.READY:
+            if each.state is ServerState.READY:
                 self.ready.add(each.id)
             else:
                 self.ready.discard(each.id)
-        self.facade.report(self.run.ms, Roster(kind, servers))
+        self.facade.report(self.run.ms, ServerList(kind, servers))
 
     def stop(self) -> None:
         """SIGTERM: serve on, then move everybody evenly."""
@@ -318,7 +318,7 @@
         self._slots: dict[int, list[Client]] = {}
         self._seeds = Random(f"{seed}/balancers")
         self._known: dict[str, Server] = {
-            each.name: Server(each.name, each.zone, 0, each.cell, State.READY, 1.0, 0.0)
+            each.name: Server(each.name, each.zone, 0, each.cell, ServerState.READY, 1.0, 0.0)
             for each in self.places
         }
         self._late: list[Server] = []  # what a stale roster has not told yet
@@ -371,7 +371,7 @@
     def _begin(self) -> None:
         listing = tuple(self._known.values())
         for shell in self.shells:
-            shell.lists(RosterKind.REMEMBERED, listing)
+            shell.lists(ServerListKind.REMEMBERED, listing)
         first = standing(self.scenario, self.seed)
         for number, client in enumerate(first):
             self._adopt(client, self.places[number % len(self.places)].name)
@@ -379,7 +379,7 @@
             self.at(change.at, self._change, change)
         for each in heard(self.scenario, self.timeline):
             known = self._known[each.server]._replace(
-                state=STATES[each.state], born=EPOCH + each.born * 1000 if each.born else 0.0
+                state=STATES[each.state], started_at=EPOCH + each.born * 1000 if each.born else 0.0
             )
             self.at(each.at, self._learns, known)
         self._come(arrivals(self.scenario, self.timeline, self.seed, len(first)))
@@ -725,9 +725,9 @@
             return
         shell = self.shells[index] = self._shell(self, index, self._seeds.randrange(SEEDS))
         first = tuple(
-            Server(each.name, each.zone, 0, each.cell, State.READY, 1.0, 0.0) for each in self.places
+            Server(each.name, each.zone, 0, each.cell, ServerState.READY, 1.0, 0.0) for each in self.places
         )
-        shell.lists(RosterKind.REMEMBERED, first)
+        shell.lists(ServerListKind.REMEMBERED, first)
         self.front.back(index)
 
     # Discovery.
@@ -741,31 +741,33 @@
         self._tell((known,))
 
     def _knows(self, known: Server) -> None:
-        self.judge.knows(self.now, known.id, "Ready" if known.state is State.READY else known.state.value)
+        self.judge.knows(
+            self.now, known.id, "Ready" if known.state is ServerState.READY else known.state.value
+        )
 
     def _tell(self, servers: tuple[Server, ...]) -> None:
         for shell in self.shells:
             if shell.alive and shell.watching:
                 if self.scenario.discovery.whole:
-                    self.at(self.now + self.near, self._told, shell, RosterKind.WHOLE, self._listing())
+                    self.at(self.now + self.near, self._told, shell, ServerListKind.WHOLE, self._listing())
                 else:
-                    self.at(self.now + self.near, self._told, shell, RosterKind.CHANGES, servers)
+                    self.at(self.now + self.near, self._told, shell, ServerListKind.CHANGES, servers)
 
     def _listing(self) -> tuple[Server, ...]:
         late = {each.id for each in self._late}
         if late:  # stale: what it knew before
             return tuple(
-                each._replace(state=State.READY, born=0.0) if each.id in late else each
+                each._replace(state=ServerState.READY, started_at=0.0) if each.id in late else each
                 for each in self._known.values()
             )
         return tuple(self._known.values())
 
-    def _told(self, shell: Shell, kind: RosterKind, servers: tuple[Server, ...]) -> None:
+    def _told(self, shell: Shell, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
         if not shell.alive:
             return
         for each in servers:
-            state = "Ready" if each.state is State.READY else each.state.value
-            born = (each.born - EPOCH) / 1000 if each.born else 0.0
+            state = "Ready" if each.state is ServerState.READY else each.state.value
+            born = (each.started_at - EPOCH) / 1000 if each.started_at else 0.0
             self.judge.told(self.now, shell.name, each.id, state, born)
         shell.lists(kind, servers)
 
@@ -785,13 +787,13 @@
             self.at(self.now + ASK_SILENT, self._lost, shell)
         else:
             shell.watching = True
-            self._told(shell, RosterKind.WHOLE, self._listing())
+            self._told(shell, ServerListKind.WHOLE, self._listing())
 
     def _lost(self, shell: Shell) -> None:
         if shell.alive:
             shell.watching = False
             self.judge.asks(self.now, shell.name, False)
-            shell.facade.report(self.ms, RosterLost())
+            shell.facade.report(self.ms, ServerListLost())
 
     def _roster_change(self, effect: str, begins: bool) -> None:
         if effect in ("roster-out", "roster-silent") and begins:
--- a/switchhub/lab/placement.py
+++ b/switchhub/lab/placement.py
@@ -21,7 +21,7 @@
     """Microseconds of pick, up and end together; the median of five turns."""
     api: Any = import_module("switchhub.decision.interface")
     facade: Any = import_module("switchhub.decision.facade")
-    kind = api.RequestClass("c", api.Repeat.SAFE, api.Scope.ALL, 0.0, 300.0, 1500.0, 1.0, 60.0)
+    kind = api.RequestClass("c", api.Repeat.SAFE, api.KeyScope.ALL, 0.0, 300.0, 1500.0, 1.0, 60.0)
     settings = api.Settings(
         classes=(kind,),
         tenants=(),
@@ -31,20 +31,20 @@
         probes_allowed=False,
         retry_after_max=0.0,
         groups_share_work=False,
-        must_ask_roster=True,
-        ask_within=1e4,
+        must_watch_server_list=True,
+        watch_retry_within=1e4,
         cold_time=8000.0,
         cold_share=0.3,
-        fall_multiple=2.5,
-        fall_time=2000.0,
+        cold_budget_multiple=2.5,
+        cold_budget_window=2000.0,
         over_share_worth=1.0,
         probe_price=0.0,
         move_price=0.0,
-        crossing_price=0.0,
+        cross_zone_price=0.0,
     )
     balancer = facade.Facade(settings, 1, 0.0)
-    named = tuple(api.Server(f"s{i}", i % 3, 0, 0, api.State.READY, 1.0, 0.0) for i in range(servers))
-    balancer.report(0.0, facade.Roster(api.RosterKind.WHOLE, named))
+    named = tuple(api.Server(f"s{i}", i % 3, 0, 0, api.ServerState.READY, 1.0, 0.0) for i in range(servers))
+    balancer.report(0.0, facade.ServerList(api.ServerListKind.WHOLE, named))
 
     def place(number: int) -> str:
         name = f"r{number}"
--- a/switchhub/net/config.py
+++ b/switchhub/net/config.py
@@ -14,11 +14,11 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from switchhub.decision.interface import Server, Settings, State
+from switchhub.decision.interface import Server, ServerState, Settings
 from switchhub.wirehost.errors import WireError
 from switchhub.wirehost.settings import read_settings
 
-_STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+_STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 _OBJECT = re.compile(rb"\{[^{}]*\}")  # an entry, wherever it stands; it has no objects inside
 UNREADABLE = (
     KeyError,
@@ -113,7 +113,7 @@
 
 def _leaving(entries: Iterable[Entry]) -> tuple[Entry, ...]:
     """Those that drain or are gone."""
-    return tuple(each for each in entries if each.server.state is not State.READY)
+    return tuple(each for each in entries if each.server.state is not ServerState.READY)
 
 
 def parse_listing(data: Any, zones: Mapping[str, int], kinds: Mapping[str, int]) -> Listing:
--- a/switchhub/net/discovery.py
+++ b/switchhub/net/discovery.py
@@ -26,8 +26,8 @@
 import httptools
 from loguru import logger
 
-from switchhub.decision.facade import Facade, Roster, RosterLost
-from switchhub.decision.interface import RosterKind, State
+from switchhub.decision.facade import Facade, ServerList, ServerListLost
+from switchhub.decision.interface import ServerListKind, ServerState
 from switchhub.net.config import (
     Address,
     Config,
@@ -92,7 +92,7 @@
         self._addresses: dict[str, Address] = {}
         self._ready: set[str] = set()
         self._listed: dict[str, Entry] = {}
-        self._apply(config.known, RosterKind.REMEMBERED)
+        self._apply(config.known, ServerListKind.REMEMBERED)
 
     def address(self, server: str) -> Address | None:
         """Where a server listens, also one that drains or is gone."""
@@ -113,9 +113,9 @@
                 "zone": zones.get(server.zone, ""),
                 "kind": kinds.get(server.kind, ""),
                 "cell": server.cell,
-                "state": "Ready" if server.state is State.READY else "Terminating",
+                "state": "Ready" if server.state is ServerState.READY else "Terminating",
                 "weight": server.weight,
-                "started_ms": server.born,
+                "started_ms": server.started_at,
             }
             for server, address in self._listed.values()
         ]
@@ -132,7 +132,7 @@
             return False
         self._version = listing.version or None
         self._ready.clear()
-        self._apply(listing, RosterKind.REMEMBERED)
+        self._apply(listing, ServerListKind.REMEMBERED)
         return True
 
     def ask(self) -> None:
@@ -144,7 +144,7 @@
         self._at, self._version, self._moved = address, None, True
         if self._watch is not None:
             self._watch.cancel()
-        self._facade.moved(self._clock())
+        self._facade.discovery_changed(self._clock())
         self._asked.set()
 
     async def run(self) -> None:
@@ -165,7 +165,7 @@
                 self._counters.add("discovery.failed")
                 if isinstance(error, ListingError):
                     self._refuse(error)
-                self._facade.report(self._clock(), RosterLost())
+                self._facade.report(self._clock(), ServerListLost())
         finally:
             if self._watch is not None:
                 self._watch.cancel()
@@ -189,37 +189,41 @@
             silent = False
             self._heard = True
             self._version = listing.version
-            self._apply(listing, RosterKind.WHOLE if listing.full else RosterKind.CHANGES)
+            self._apply(listing, ServerListKind.WHOLE if listing.full else ServerListKind.CHANGES)
 
-    def _apply(self, listing: Listing, kind: RosterKind) -> None:
-        if kind is RosterKind.WHOLE:
+    def _apply(self, listing: Listing, kind: ServerListKind) -> None:
+        if kind is ServerListKind.WHOLE:
             self._ready.clear()
-        if kind in (RosterKind.WHOLE, RosterKind.REMEMBERED):
+        if kind in (ServerListKind.WHOLE, ServerListKind.REMEMBERED):
             self._listed.clear()
         for entry in listing.entries:
             server, address = entry
             self._addresses[server.id] = address
-            if server.state is State.GONE:
+            if server.state is ServerState.GONE:
                 self._listed.pop(server.id, None)
             else:
                 self._listed[server.id] = entry
-            if server.state is State.READY:
+            if server.state is ServerState.READY:
                 self._ready.add(server.id)
             else:
                 self._ready.discard(server.id)
-            if kind is not RosterKind.REMEMBERED:
+            if kind is not ServerListKind.REMEMBERED:
                 logger.info(
-                    "server {} {} at {}:{} born {:.0f}", server.id, server.state.value, *address, server.born
+                    "server {} {} at {}:{} born {:.0f}",
+                    server.id,
+                    server.state.value,
+                    *address,
+                    server.started_at,
                 )
         self._counters.add("discovery.answers")
-        self._facade.report(self._clock(), Roster(kind, tuple(entry.server for entry in listing.entries)))
+        self._facade.report(self._clock(), ServerList(kind, tuple(entry.server for entry in listing.entries)))
 
     def _refuse(self, error: ListingError) -> None:
         """The last good list stays, less who leaves by the refused one; next, everything is asked for."""
         self._counters.add("discovery.refused")
         self._version = None
         known = tuple(each for each in error.leaving if each.server.id in self._addresses)
-        self._apply(Listing(0, False, known), RosterKind.LEAVING)
+        self._apply(Listing(0, False, known), ServerListKind.LEAVING)
 
     async def _call(self) -> Listing:
         """One call; how long it took and how it ended is what tells a herd."""
--- a/switchhub/net/listener.py
+++ b/switchhub/net/listener.py
@@ -165,7 +165,7 @@
         """The figures, in the operators' form."""
         from switchhub.management.figures import write  # imported with the calls
 
-        counters, targets = self.counters, self.facade.targets(self.clock())
+        counters, targets = self.counters, self.facade.server_counts(self.clock())
         dispatches = counters.get("dispatches")
         return write(self.config.classes, counters.answers, dispatches, len(self.sessions), *targets)
 
@@ -175,7 +175,7 @@
             now = self.loop.time()
             self._pace, self._forced = Pace(now + DRAIN_FROM, now + DRAIN_TO), now + DRAIN_MAX
             self.counters.add("drains")
-            self.facade.drained(self.clock())
+            self.facade.drain_started(self.clock())
             logger.info("draining with {} sessions", len(self.sessions))
 
     def restore(self) -> bool:
@@ -184,7 +184,7 @@
             return False
         if self._pace is not None:
             self._pace, self._forced = None, math.inf
-            self.facade.restored(self.clock())
+            self.facade.drain_ended(self.clock())
             logger.info("back to work with {} sessions", len(self.sessions))
         return True
 
--- a/switchhub/net/session.py
+++ b/switchhub/net/session.py
@@ -412,7 +412,7 @@
             self._counters.add("attempts.own_delay")  # it stands: this process was late to see it
         except OSError:
             return Result.UNREACHABLE
-        overdue = loop.time() >= ends or self._clock() - started >= pick.within
+        overdue = loop.time() >= ends or self._clock() - started >= pick.send_within
         if overdue or not self._node.discovery.ready(pick.server) or self._given_up():
             return Result.NOT_SENT
         left = max(1, int((ends - loop.time()) * 1000))
--- a/switchhub/wirehost/codec.py
+++ b/switchhub/wirehost/codec.py
@@ -16,8 +16,8 @@
 _RETURNING = 16
 _LISTS = 16
 _LARGEST_TOKEN = 2**63
-_STATES = {"live": api.State.READY, "quiescing": api.State.DRAINING, "dead": api.State.GONE}
-_KINDS = {"D": api.RosterKind.CHANGES, "F": api.RosterKind.WHOLE, "C": api.RosterKind.REMEMBERED}
+_STATES = {"live": api.ServerState.READY, "quiescing": api.ServerState.DRAINING, "dead": api.ServerState.GONE}
+_KINDS = {"D": api.ServerListKind.CHANGES, "F": api.ServerListKind.WHOLE, "C": api.ServerListKind.REMEMBERED}
 _RESULTS = {
     "pass": api.Result.OK,
     "fault": api.Result.ERROR,
@@ -141,20 +141,20 @@
     return api.ConnectionUp(p[2], _whole(name, "Copy", p[3]), p[5], _number(name, "Spent", p[4]))
 
 
-def _decode_note(p: list[str]) -> api.LoadTold | api.DelayTold | None:
+def _decode_note(p: list[str]) -> api.LoadReported | api.DelayReported | None:
     attempt, level = _whole("note", "Copy", p[3]), _number("note", "Level", p[6])
     what = _whole("note", "What", p[5])
     if what == 1:
-        return api.LoadTold(p[2], attempt, p[4], level)
+        return api.LoadReported(p[2], attempt, p[4], level)
     if what == 2:
-        return api.DelayTold(p[2], attempt, p[4], level)
+        return api.DelayReported(p[2], attempt, p[4], level)
     return None  # a kind of news that is not known here is passed over
 
 
-def _decode_outcome(p: list[str]) -> api.Outcome:
+def _decode_outcome(p: list[str]) -> api.AttemptEnded:
     name = "answer"
     _report(name, p[8])
-    return api.Outcome(
+    return api.AttemptEnded(
         p[2],
         _whole(name, "Copy", p[3]),
         p[4],
@@ -304,17 +304,17 @@
         if not self._expected:
             self._lists[self._filling] = tuple(self._entries)
 
-    def _roster(self, p: list[str]) -> api.RosterChanged | api.RosterFailed:
+    def _roster(self, p: list[str]) -> api.ServerListChanged | api.ServerListFailed:
         _check_length(p)
         if p[2] == "X":
-            return api.RosterFailed()
+            return api.ServerListFailed()
         kind = _KINDS.get(p[2])
         if kind is None:
             raise WireError("endpoints", "Scope", f"unknown kind {p[2]!r}")
         number = _whole("endpoints", "Table", p[4])
         if number not in self._lists:
             raise WireError("endpoints", "Table", f"unknown catalog number {number}")
-        return api.RosterChanged(kind, self._lists[number])
+        return api.ServerListChanged(kind, self._lists[number])
 
 
 def _one_line(text: str) -> str:
@@ -327,7 +327,7 @@
     api.Fail: lambda i, a: f"fail\t{i}\t{a.request}",
     api.Move: lambda i, a: f"bounce\t{i}\t{a.request}",
     api.SetTimer: lambda i, a: f"set_alarm\t{i}\t{a.token}\t{a.delay:.3f}",
-    api.WatchRoster: lambda i, a: f"watch\t{i}\t1",
+    api.WatchServerList: lambda i, a: f"watch\t{i}\t1",
     api.Probe: lambda i, a: f"ask_load\t{i}\t{a.server}",
     api.Note: lambda i, a: f"record\t{i}\t{_one_line(a.text)}",
 }
--- a/switchhub/wirehost/loop.py
+++ b/switchhub/wirehost/loop.py
@@ -6,8 +6,8 @@
 import traceback
 from typing import TextIO
 
-from switchhub.decision.brain import Balancer
 from switchhub.decision.interface import ConnectionAdopted, RequestArrived, Settings
+from switchhub.decision.placement import Balancer
 from switchhub.wirehost.codec import (
     END_OF_BATCH,
     END_OF_REPLY,
--- a/switchhub/wirehost/settings.py
+++ b/switchhub/wirehost/settings.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Mapping
 from typing import TypeVar
 
-from switchhub.decision.interface import Repeat, RequestClass, Scope, Settings, Tenant
+from switchhub.decision.interface import KeyScope, Repeat, RequestClass, Settings, Tenant
 from switchhub.wirehost.errors import WireError
 
 _REPEATS = {"repeatable": Repeat.SAFE, "by_key": Repeat.KEYED, "once": Repeat.UNSAFE}
-_SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+_SCOPES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.CELL}
 _DISCOVERY = {"ask": True, "push": False}
 _BOOLS = {"true": True, "false": False, "1": True, "0": False}
 _NONE: tuple[float, ...] = ()
@@ -74,14 +74,14 @@
         scope = read.need(path + "KeyScope", _SCOPES.__getitem__)
         window = read.need(path + "KeyTtl", _number)
     else:
-        scope, window = Scope.ALL, 0.0
+        scope, window = KeyScope.ALL, 0.0
     aim = read.need(path + "GoalTime", _number)
     return RequestClass(
         name=read.get(path + "Name", str, str(index)),
         repeat=repeat,
         scope=scope,
         window=window,
-        aim=aim,
+        setup_aim=aim,
         deadline=read.need(path + "Deadline", _number),
         worth=read.get(path + "Worth", _number, 1.0),
         message_aim=message_aims[index] if index < len(message_aims) else aim,
@@ -114,14 +114,14 @@
         probes_allowed=read.get("Allowed.Probes", _BOOLS.__getitem__, False),
         retry_after_max=wait if read.get("Allowed.RetryAfter", _BOOLS.__getitem__, False) else 0.0,
         groups_share_work=read.get("FamilyInfo.Groups", _BOOLS.__getitem__, False),
-        must_ask_roster=must_ask,
-        ask_within=read.need("Rules.AskWithin", _number) if must_ask else 0.0,
+        must_watch_server_list=must_ask,
+        watch_retry_within=read.need("Rules.AskWithin", _number) if must_ask else 0.0,
         cold_time=read.need("Rules.Cold", _number),
         cold_share=read.need("Rules.ColdFrom", _number),
-        fall_multiple=read.need("Rules.FallMultiple", _number),
-        fall_time=read.need("Rules.Fall", _number),
+        cold_budget_multiple=read.need("Rules.FallMultiple", _number),
+        cold_budget_window=read.need("Rules.Fall", _number),
         over_share_worth=read.get("OverShareWorth", _number, 1.0),
         probe_price=read.get("Prices.Probe", _number, 0.0),
         move_price=read.get("Prices.Moves", _number, 0.0),
-        crossing_price=read.get("Prices.CrossZone", _number, 0.0),
+        cross_zone_price=read.get("Prices.CrossZone", _number, 0.0),
     )
--- a/tests/world.py
+++ b/tests/balancer_driver.py
@@ -4,37 +4,37 @@
 
 from typing import TypeVar
 
-from switchhub.decision.brain import Balancer
 from switchhub.decision.interface import (
     Action,
     Attempt,
+    AttemptEnded,
     ConnectionAdopted,
     ConnectionUp,
-    DelayTold,
+    DelayReported,
     Event,
-    Outcome,
+    KeyScope,
     Repeat,
     Request,
     RequestArrived,
     RequestClass,
     Result,
-    RosterChanged,
-    RosterKind,
-    Scope,
     Server,
+    ServerListChanged,
+    ServerListKind,
+    ServerState,
     SetTimer,
     Settings,
-    State,
     Tenant,
     TimerFired,
 )
+from switchhub.decision.placement import Balancer
 
 T = TypeVar("T")
 
 
 def make_class(
     repeat: Repeat = Repeat.SAFE,
-    scope: Scope = Scope.ALL,
+    scope: KeyScope = KeyScope.ALL,
     window: float = 5000.0,
     message_aim: float = 60.0,
     worth: float = 1.0,
@@ -51,7 +51,7 @@
     probes_allowed: bool = False,
     retry_after_max: float = 0.0,
     groups_share_work: bool = False,
-    must_ask_roster: bool = True,
+    must_watch_server_list: bool = True,
     move_price: float = 0.01,
 ) -> Settings:
     return Settings(
@@ -63,24 +63,26 @@
         probes_allowed=probes_allowed,
         retry_after_max=retry_after_max,
         groups_share_work=groups_share_work,
-        must_ask_roster=must_ask_roster,
-        ask_within=10000.0,
+        must_watch_server_list=must_watch_server_list,
+        watch_retry_within=10000.0,
         cold_time=8000.0,
         cold_share=0.3,
-        fall_multiple=2.5,
-        fall_time=2000.0,
+        cold_budget_multiple=2.5,
+        cold_budget_window=2000.0,
         over_share_worth=0.2,
         probe_price=0.0,
         move_price=move_price,
-        crossing_price=0.01,
+        cross_zone_price=0.01,
     )
 
 
-def server(name: str, zone: int = 0, cell: int = 0, state: State = State.READY, born: float = 0.0) -> Server:
-    return Server(name, zone, 0, cell, state, 1.0, born)
+def make_server(
+    name: str, zone: int = 0, cell: int = 0, state: ServerState = ServerState.READY, started_at: float = 0.0
+) -> Server:
+    return Server(name, zone, 0, cell, state, 1.0, started_at)
 
 
-class World:
+class BalancerDriver:
     """Feeds one balancer and keeps what it did."""
 
     def __init__(self, settings: Settings | None = None, seed: int = 1, now: float = 1000.0) -> None:
@@ -108,7 +110,7 @@
         self._keep(self.last)
         return self.last
 
-    def wait(self, span: float) -> None:
+    def advance(self, span: float) -> None:
         """Let time pass, firing the timers that come due."""
         end = self.now + span
         while True:
@@ -121,10 +123,12 @@
             self.feed(TimerFired(timer[1]))
         self.now = end
 
-    def roster(self, *servers: Server, kind: RosterKind = RosterKind.WHOLE) -> list[Action]:
-        return self.feed(RosterChanged(kind, servers))
+    def update_server_list(
+        self, *servers: Server, kind: ServerListKind = ServerListKind.WHOLE
+    ) -> list[Action]:
+        return self.feed(ServerListChanged(kind, servers))
 
-    def ask(
+    def send_request(
         self,
         hint: float | None = 1000.0,
         class_index: int = 0,
@@ -151,33 +155,35 @@
         self.feed(ConnectionAdopted(Request(request, 0, 0.0, tenant, hint, None, group), where))
         return request
 
-    def where(self, request: str) -> str:
+    def server_of(self, request: str) -> str:
         """The server of the request's latest attempt."""
         if request in self.adopted:
             return self.adopted[request]
         return [a for a in self.actions if isinstance(a, Attempt) and a.request == request][-1].server
 
-    def up(self, request: str, elapsed: float = 20.0) -> list[Action]:
-        return self.feed(ConnectionUp(request, self.attempts[request], self.where(request), elapsed))
+    def establish(self, request: str, elapsed: float = 20.0) -> list[Action]:
+        return self.feed(ConnectionUp(request, self.attempts[request], self.server_of(request), elapsed))
 
-    def end(
+    def end_attempt(
         self, request: str, result: Result, closed: bool | None = None, elapsed: float = 20.0
     ) -> list[Action]:
         over = result is Result.OK if closed is None else closed
-        return self.feed(Outcome(request, self.attempts[request], self.where(request), over, elapsed, result))
+        return self.feed(
+            AttemptEnded(request, self.attempts[request], self.server_of(request), over, elapsed, result)
+        )
 
-    def strain(self, request: str, where: str, delay: float) -> list[Action]:
-        return self.feed(DelayTold(request, self.attempts[request], where, delay))
+    def report_delay(self, request: str, where: str, delay: float) -> list[Action]:
+        return self.feed(DelayReported(request, self.attempts[request], where, delay))
 
-    def stand(self, hint: float | None = 1000.0, **more: object) -> str:
+    def open_connection(self, hint: float | None = 1000.0, **more: object) -> str:
         """A request that becomes a connection at once; the server that took it."""
         group, tenant = more.get("group"), more.get("tenant", 0)
         assert group is None or isinstance(group, str)
         assert isinstance(tenant, int)
-        request = self.ask(hint, group=group, tenant=tenant)
-        self.up(request)
-        return self.where(request)
+        request = self.send_request(hint, group=group, tenant=tenant)
+        self.establish(request)
+        return self.server_of(request)
 
-    def did(self, kind: type[T]) -> list[T]:
+    def last_of(self, kind: type[T]) -> list[T]:
         """What the last event led to, of one kind."""
         return [action for action in self.last if isinstance(action, kind)]
--- a/tests/lab/mutants.py
+++ b/tests/lab/mutants.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Iterable
 
-from switchhub.decision.interface import RosterKind, Server, State
+from switchhub.decision.interface import Server, ServerListKind, ServerState
 from switchhub.lab.model import Conn, Shell
 
 
@@ -35,10 +35,10 @@
 class PassesOverDrains(Shell):
     """Its module and its connections are never told that a server leaves."""
 
-    def lists(self, kind: RosterKind, servers: tuple[Server, ...]) -> None:
-        if kind is RosterKind.WHOLE:
-            kind = RosterKind.CHANGES
-        super().lists(kind, tuple(each for each in servers if each.state is State.READY))
+    def lists(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
+        if kind is ServerListKind.WHOLE:
+            kind = ServerListKind.CHANGES
+        super().lists(kind, tuple(each for each in servers if each.state is ServerState.READY))
 
 
 class StopsAsking(Shell):
@@ -54,8 +54,8 @@
 class ForgetsBirths(Shell):
     """Takes each server for a warm one."""
 
-    def lists(self, kind: RosterKind, servers: tuple[Server, ...]) -> None:
-        super().lists(kind, tuple(each._replace(born=0.0) for each in servers))
+    def lists(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
+        super().lists(kind, tuple(each._replace(started_at=0.0) for each in servers))
 
 
 class RepeatsWhatMayHaveRun(Shell):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from switchhub.admission.gate import CARE, PER_TURN, PROMPT, SPARE, TURN, Gate, Verdict
-from switchhub.decision.facade import Facade, Refused, Roster
-from switchhub.decision.interface import Request, RosterKind
+from switchhub.decision.facade import Facade, Refused, ServerList
+from switchhub.decision.interface import Request, ServerListKind
 from switchhub.net.lines import Sockets, Wire
+from tests.balancer_driver import make_server, make_settings
 from tests.rig import WITHIN, Server, running
-from tests.world import make_settings, server
 
 
 def test_calm_requests_start_at_once_and_a_turn_holds_so_many() -> None:
@@ -66,7 +66,7 @@
 
 def test_the_module_refuses_what_is_late_and_sends_it_nowhere() -> None:
     facade = Facade(make_settings(), 1, 1000.0)
-    facade.report(1000.0, Roster(RosterKind.WHOLE, (server("a"),)))
+    facade.report(1000.0, ServerList(ServerListKind.WHOLE, (make_server("a"),)))
     assert facade.pick(1000.0, Request("r", 0, 900.0, late=True)) == Refused(0.0)
     assert facade._balancer.sums() == {"a": 0}
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from switchhub.decision.interface import Repeat, State
+from switchhub.decision.interface import Repeat, ServerState
 from switchhub.net.config import ConfigError, flatten, parse_address, parse_listing, read_config
 from tests.rig import settings
 
@@ -70,7 +70,7 @@
     assert config.classes == {"any": 0, "pay": 1}
     (entry,) = config.known.entries
     assert entry.address == ("10.1.0.18", 8080)
-    assert entry.server == ("s-1", 1, 1, 3, State.READY, 1.0, 1700000000000.0)
+    assert entry.server == ("s-1", 1, 1, 3, ServerState.READY, 1.0, 1700000000000.0)
 
 
 def test_no_tenants(tmp_path: Path) -> None:
@@ -120,7 +120,7 @@
 def test_a_list_may_leave_out_what_only_refines() -> None:
     data = {"version": 2, "full": False, "servers": [{"id": "s", "addr": "h:1", "state": "Gone"}]}
     (entry,) = parse_listing(data, {}, {}).entries
-    assert entry.server == ("s", -1, -1, -1, State.GONE, 1.0, 0.0)
+    assert entry.server == ("s", -1, -1, -1, ServerState.GONE, 1.0, 0.0)
 
 
 def test_what_servers_tell(tmp_path: Path) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -205,7 +205,7 @@
         def moved(now: float) -> None:
             told.append(now)
 
-        play.node.facade.moved = moved  # type: ignore[method-assign]
+        play.node.facade.discovery_changed = moved  # type: ignore[method-assign]
         play.node.discovery.move(("127.0.0.1", 2))
         assert len(told) == 1
 
--- a/tests/test_herd.py
+++ b/tests/test_discovery_retry.py
@@ -10,19 +10,19 @@
 
 import pytest
 
-from switchhub.decision.brain import Balancer
 from switchhub.decision.interface import (
-    RosterChanged,
-    RosterFailed,
-    RosterKind,
-    RosterMoved,
+    DiscoveryChanged,
+    ServerListChanged,
+    ServerListFailed,
+    ServerListKind,
+    ServerState,
     SetTimer,
-    State,
     TimerFired,
-    WatchRoster,
+    WatchServerList,
 )
+from switchhub.decision.placement import Balancer
+from tests.balancer_driver import BalancerDriver, make_server, make_settings
 from tests.rig import Server, running
-from tests.world import World, make_settings, server
 
 TOLD = 6000.0  # milliseconds after which what discovery has counts as told, from its return or a silence
 WORK, PATIENCE, BOUND = 125.0, 2000.0, 24  # milliseconds a call takes, a caller waits; calls that may wait
@@ -55,15 +55,15 @@
             )
         elif what == "list":
             served.append(now)
-            balancers[number].handle(now, RosterChanged(RosterKind.WHOLE, (server("a"),)))
+            balancers[number].handle(now, ServerListChanged(ServerListKind.WHOLE, (make_server("a"),)))
         else:
             failed += 1
-            for action in balancers[number].handle(now, RosterFailed()):
+            for action in balancers[number].handle(now, ServerListFailed()):
                 if isinstance(action, SetTimer):
                     fires = now + action.delay
                     heapq.heappush(events, (fires, next(order), "call", number))
                     assert any(
-                        isinstance(each, WatchRoster)
+                        isinstance(each, WatchServerList)
                         for each in balancers[number].handle(fires, TimerFired(action.token))
                     )
     return served, failed
@@ -89,7 +89,7 @@
     for seed in range(20):
         (timer,) = [
             each
-            for each in Balancer(make_settings(), seed).handle(0.0, RosterFailed())
+            for each in Balancer(make_settings(), seed).handle(0.0, ServerListFailed())
             if isinstance(each, SetTimer)
         ]
         assert 250.0 <= timer.delay <= 1500.0
@@ -98,17 +98,17 @@
 def test_answers_that_are_refused_leave_the_wait_growing() -> None:
     """Danger: who leaves is heard from a refused answer too; were it good news, the wait began anew. And what
     was refused counts as told 6 s later, so it may not grow as it does in a queue."""
-    world = World()
-    world.roster(server("a"), server("b"))
+    world = BalancerDriver()
+    world.update_server_list(make_server("a"), make_server("b"))
     waits: list[float] = []
     for _ in range(8):
-        world.roster(server("b", state=State.DRAINING), kind=RosterKind.LEAVING)
-        world.feed(RosterFailed())
+        world.update_server_list(make_server("b", state=ServerState.DRAINING), kind=ServerListKind.LEAVING)
+        world.feed(ServerListFailed())
         waits.append(world.timers[-1][0] - world.now)
-        world.wait(waits[-1])
+        world.advance(waits[-1])
     assert max(waits[2:]) > 3000.0
     assert max(waits) <= TOLD - PATIENCE
-    assert world.stand() == "a", "rule 3, and who is not named stays"
+    assert world.open_connection() == "a", "rule 3, and who is not named stays"
 
 
 def heard_after(outage: float, held: float, seed: int) -> float:
@@ -116,11 +116,11 @@
     out and is answered `PATIENCE` later, a full queue's time, from then on."""
     balancer = Balancer(make_settings(), seed)
     balancer.start(0.0)
-    balancer.handle(0.0, RosterChanged(RosterKind.WHOLE, (server("a"),)))
+    balancer.handle(0.0, ServerListChanged(ServerListKind.WHOLE, (make_server("a"),)))
     now = Random(seed).uniform(0.0, PATIENCE)  # its watch ends as discovery goes
     while now < outage:
         now += held
-        (timer,) = [each for each in balancer.handle(now, RosterFailed()) if isinstance(each, SetTimer)]
+        (timer,) = [each for each in balancer.handle(now, ServerListFailed()) if isinstance(each, SetTimer)]
         now += timer.delay
         balancer.handle(now, TimerFired(timer.token))
     return now + PATIENCE - outage
@@ -160,30 +160,30 @@
     asyncio.run(play())
 
 
-def queued(world: World, times: int) -> list[float]:
+def queued(world: BalancerDriver, times: int) -> list[float]:
     """The waits after so many calls that were held for a queue's time each."""
     waits: list[float] = []
     for _ in range(times):
         world.now += PATIENCE
-        world.feed(RosterFailed())
+        world.feed(ServerListFailed())
         waits.append(world.timers[-1][0] - world.now)
-        world.wait(waits[-1])
+        world.advance(waits[-1])
     return waits
 
 
 def test_failures_of_one_discovery_do_not_put_off_calls_to_the_next() -> None:
     """Found on herd+brink: after SIGHUP the first call was refused, and the next one came over 15 s later."""
-    world = World(make_settings(fleet_size=100))
+    world = BalancerDriver(make_settings(fleet_size=100))
     assert max(queued(world, 7)) > 10_000.0, "one queue for many"
-    world.feed(RosterMoved())
+    world.feed(DiscoveryChanged())
     world.now += 20.0
-    world.feed(RosterFailed())
+    world.feed(ServerListFailed())
     assert world.timers[-1][0] - world.now <= 1500.0
 
 
 def test_a_few_balancers_can_not_fill_a_queue_and_need_not_wait_as_if() -> None:
     """Danger: with six of them a wait doubled to 16 s, and six calls are worked through in a second."""
-    assert max(queued(World(make_settings(fleet_size=6)), 9)) <= TOLD - PATIENCE
+    assert max(queued(BalancerDriver(make_settings(fleet_size=6)), 9)) <= TOLD - PATIENCE
 
 
 def test_the_first_call_is_the_watch_from_the_version_known(tmp_path: Path) -> None:
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -13,18 +13,18 @@
     Left,
     Load,
     Refused,
-    Roster,
-    RosterLost,
     Send,
+    ServerList,
+    ServerListLost,
     Up,
 )
-from switchhub.decision.interface import Repeat, Request, Result, RosterKind, State
-from tests.world import make_class, make_settings, server
+from switchhub.decision.interface import Repeat, Request, Result, ServerListKind, ServerState
+from tests.balancer_driver import make_class, make_server, make_settings
 
 
 def facade(repeat: Repeat = Repeat.SAFE, *servers: str) -> Facade:
     made = Facade(make_settings(classes=(make_class(repeat),)), 1, 1000.0)
-    made.report(1000.0, Roster(RosterKind.REMEMBERED, tuple(server(name) for name in servers)))
+    made.report(1000.0, ServerList(ServerListKind.REMEMBERED, tuple(make_server(name) for name in servers)))
     return made
 
 
@@ -36,7 +36,7 @@
     made = facade()
     assert made.tick(1000.0).watch
     assert not made.tick(1001.0).watch
-    made.report(1100.0, RosterLost())
+    made.report(1100.0, ServerListLost())
     chores = made.tick(1100.0)
     assert chores.notes == ["roster lost, asking again"]
     assert not chores.watch
@@ -84,7 +84,7 @@
 def test_moves_come_as_chores_once() -> None:
     made = facade(Repeat.SAFE, "a", "b")
     made.report(1000.0, Adopted(request("old"), "a"))
-    made.report(1100.0, Roster(RosterKind.CHANGES, (server("a", state=State.DRAINING),)))
+    made.report(1100.0, ServerList(ServerListKind.CHANGES, (make_server("a", state=ServerState.DRAINING),)))
     assert made.tick(1100.0).moves == ["old"]
     assert made.tick(1120.0).moves == []
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchhub.decision.interface import Learnt, ServerLearnt
+from switchhub.decision.interface import LearnedServer, LearnedState
 from switchhub.handover import messages
 from switchhub.handover.channel import Channel
 from switchhub.handover.sender import HandoverSender, socket_path
@@ -65,10 +65,10 @@
 
 def test_what_was_learnt_comes_back_as_it_went() -> None:
     servers = (
-        ServerLearnt("s1", 0.5, 2, 7.0, float("inf"), 0.0, ()),
-        ServerLearnt("s2", 0.1, 0, 0.0, 900.0, 5.0, ((1.0, 2.0), (3.0, 4.0))),
+        LearnedServer("s1", 0.5, 2, 7.0, float("inf"), 0.0, ()),
+        LearnedServer("s2", 0.1, 0, 0.0, 900.0, 5.0, ((1.0, 2.0), (3.0, 4.0))),
     )
-    learnt = Learnt(12.5, 30.0, 4.0, float("-inf"), servers)
+    learnt = LearnedState(12.5, 30.0, 4.0, float("-inf"), servers)
     _, values = messages.decode_message(
         messages.encode_message("yours", learnt=messages.encode_learnt(learnt))
     )
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from switchhub.decision.interface import State
+from switchhub.decision.interface import ServerState
 from switchhub.net.config import Entry, Listing, ListingError, checked, parse_listing
+from tests.balancer_driver import make_server
 from tests.rig import Server, running
-from tests.world import server
 
 Told = dict[str, Any]
 
@@ -158,15 +158,15 @@
     assert [each.server.id for each in caught.value.leaving] == ["b"]
 
 
-def entry(name: str, state: State = State.READY) -> Entry:
-    return Entry(server(name, state=state), ("127.0.0.1", 1))
+def entry(name: str, state: ServerState = ServerState.READY) -> Entry:
+    return Entry(make_server(name, state=state), ("127.0.0.1", 1))
 
 
 @pytest.mark.parametrize(
     ("listing", "version"),
     [
-        (Listing(7, False, (entry("a", State.DRAINING), entry("b"))), 8),
-        (Listing(9, True, (entry("a"), entry("b"), entry("a", State.DRAINING))), 8),
+        (Listing(7, False, (entry("a", ServerState.DRAINING), entry("b"))), 8),
+        (Listing(9, True, (entry("a"), entry("b"), entry("a", ServerState.DRAINING))), 8),
     ],
 )
 def test_a_refused_answer_still_names_who_leaves(listing: Listing, version: int | None) -> None:
@@ -179,8 +179,8 @@
 def test_whole_lists_and_changes_that_can_be_true_are_taken() -> None:
     for listing, version in (
         (Listing(3, True, (entry("a"),)), None),
-        (Listing(3, True, (entry("a", State.DRAINING),)), 2),
+        (Listing(3, True, (entry("a", ServerState.DRAINING),)), 2),
         (Listing(3, False, ()), 3),
-        (Listing(4, False, (entry("a", State.GONE),)), 3),
+        (Listing(4, False, (entry("a", ServerState.GONE),)), 3),
     ):
         assert checked(listing, version) is listing
--- a/tests/test_module.py
+++ b/tests/test_placement_module.py
@@ -8,26 +8,28 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-BRAIN = ROOT / "switchhub" / "decision" / "brain.py"
+BRAIN = ROOT / "switchhub" / "decision" / "placement.py"
 SCRIPT = """
 import random
 from switchhub.decision.interface import *
-from tests.world import World, make_settings, server
-world = World(make_settings(groups_share_work=True, tenants=(Tenant("x", .5, 9.0), Tenant("y", .5, 9.0))), 7)
-world.roster(*(server(f"s{n}", n % 3, born=0.0 if n % 4 else 900.0) for n in range(12)))
+from tests.balancer_driver import BalancerDriver, make_server, make_settings
+tenants = (Tenant("x", .5, 9.0), Tenant("y", .5, 9.0))
+world = BalancerDriver(make_settings(groups_share_work=True, tenants=tenants), 7)
+servers = (make_server(f"s{n}", n % 3, started_at=0.0 if n % 4 else 900.0) for n in range(12))
+world.update_server_list(*servers)
 rng = random.Random(3)
 for step in range(600):
-    world.wait(rng.uniform(0, 40))
-    request = world.ask(rng.uniform(1, 9000), tenant=step % 2, group=f"g{step % 5}")
-    if world.attempts.get(request) is None or not world.did(Attempt):
+    world.advance(rng.uniform(0, 40))
+    request = world.send_request(rng.uniform(1, 9000), tenant=step % 2, group=f"g{step % 5}")
+    if world.attempts.get(request) is None or not world.last_of(Attempt):
         continue
     draw = rng.random()
     if draw < .7:
-        world.up(request, rng.uniform(5, 90))
+        world.establish(request, rng.uniform(5, 90))
         if draw < .02:
-            world.strain(request, world.where(request), rng.uniform(1, 300))
+            world.report_delay(request, world.server_of(request), rng.uniform(1, 300))
     else:
-        world.end(request, rng.choice(list(Result)), False)
+        world.end_attempt(request, rng.choice(list(Result)), False)
 print(world.actions)
 """
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -10,37 +10,37 @@
 
 from switchhub.decision.interface import (
     Attempt,
+    AttemptEnded,
     ClientLeft,
     ConnectionUp,
-    DelayTold,
+    DelayReported,
     Event,
     Fail,
-    LoadTold,
+    KeyScope,
+    LoadReported,
     Move,
-    Outcome,
     Refuse,
     Repeat,
     Request,
     RequestArrived,
     Result,
-    RosterChanged,
-    RosterFailed,
-    RosterKind,
-    Scope,
     Server,
+    ServerListChanged,
+    ServerListFailed,
+    ServerListKind,
+    ServerState,
     Settings,
-    State,
     TimerFired,
 )
-from tests.world import World, make_class, make_settings
+from tests.balancer_driver import BalancerDriver, make_class, make_settings
 
 NEVER_RAN = {Result.FULL, Result.UNREACHABLE, Result.NOT_SENT}
 CLASSES = (
     make_class(Repeat.SAFE),
     make_class(Repeat.UNSAFE),
-    make_class(Repeat.KEYED, Scope.ALL, 400.0),
-    make_class(Repeat.KEYED, Scope.ZONE, 400.0),
-    make_class(Repeat.KEYED, Scope.CELL, 400.0),
+    make_class(Repeat.KEYED, KeyScope.ALL, 400.0),
+    make_class(Repeat.KEYED, KeyScope.ZONE, 400.0),
+    make_class(Repeat.KEYED, KeyScope.CELL, 400.0),
 )
 
 
@@ -49,7 +49,7 @@
 
     def __init__(self, rng: random.Random, grouped: bool, config: Settings) -> None:
         self.rng, self.grouped = rng, grouped
-        self.world = World(config, rng.randrange(1 << 30), rng.choice([0.0, 1e9]))
+        self.world = BalancerDriver(config, rng.randrange(1 << 30), rng.choice([0.0, 1e9]))
         self.servers: dict[str, Server] = {}
         self.open: dict[str, Request] = {}  # owed a final answer
         self.deadline: dict[str, float] = {}
@@ -74,7 +74,7 @@
         assert name in self.open, "an attempt after the end"
         assert name not in self.out, "two attempts at once"
         target = self.servers[action.server]
-        assert target.state is State.READY, "sent to a server told to drain"
+        assert target.state is ServerState.READY, "sent to a server told to drain"
         assert now < self.deadline[name]
         assert 0 < action.timeout <= self.deadline[name] - now + 1e-6
         number = self.world.attempts[name]
@@ -84,8 +84,8 @@
             first, at = self.doubt[name]
             assert kind.repeat is Repeat.KEYED
             assert now - at <= kind.window
-            assert kind.scope is not Scope.ZONE or target.zone == first.zone
-            assert kind.scope is not Scope.CELL or target.cell == first.cell
+            assert kind.scope is not KeyScope.ZONE or target.zone == first.zone
+            assert kind.scope is not KeyScope.CELL or target.cell == first.cell
         self.out[name] = (number, action.server, now)
 
     def check_answer(self, action: Refuse | Fail) -> None:
@@ -93,7 +93,7 @@
         assert action.request not in self.out
         if isinstance(action, Refuse) and action.request in self.doubt:
             kind = CLASSES[request.class_index]
-            assert kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL)
+            assert kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.scope is KeyScope.ALL)
 
     def check_state(self) -> None:
         sums = self.world.balancer.sums()
@@ -151,23 +151,23 @@
             number, where, _ = self.out[name]
             if rng.random() < 0.5:
                 self.loads[name] = rng.randrange(10**6)
-                self.feed(LoadTold(name, number, where, float(self.loads[name])))
+                self.feed(LoadReported(name, number, where, float(self.loads[name])))
             else:
-                self.feed(DelayTold(name, number, where, rng.choice([1.0, 25.0, 900.0])))
+                self.feed(DelayReported(name, number, where, rng.choice([1.0, 25.0, 900.0])))
         elif draw < 0.85 and self.open:
             name = rng.choice(sorted(self.open))
             self.feed(ClientLeft(name), ended=name)
         elif draw < 0.95:
             self.change_roster()
         elif draw < 0.97:
-            self.feed(RosterFailed())
+            self.feed(ServerListFailed())
         else:  # news of things that are not held
             strangers: list[Event] = [
                 TimerFired(987654),
                 ClientLeft("nobody"),
                 ConnectionUp("nobody", 0, "s0", 1.0),
-                Outcome("nobody", 0, "s0", False, 1.0, Result.ERROR),
-                LoadTold("nobody", 0, "s0", 5.0),
+                AttemptEnded("nobody", 0, "s0", False, 1.0, Result.ERROR),
+                LoadReported("nobody", 0, "s0", 5.0),
             ]
             self.feed(rng.choice(strangers))
         self.check_state()
@@ -181,7 +181,7 @@
             if result not in NEVER_RAN:
                 self.doubt.setdefault(name, (self.servers[where], at))
         self.up.discard(name)
-        event = Outcome(name, number, where, closed, self.world.now - at, result)
+        event = AttemptEnded(name, number, where, closed, self.world.now - at, result)
         if closed:
             self.feed(event, ended=name)
         else:
@@ -194,18 +194,28 @@
         entries = []
         for name in names:
             known = self.servers.get(name)
-            state = rng.choice([State.READY, State.READY, State.READY, State.DRAINING, State.GONE])
-            if whole and state is State.GONE:
-                state = State.READY
-            born = self.world.now if rng.random() < 0.2 else (known.born if known else 0.0)
+            state = rng.choice(
+                [
+                    ServerState.READY,
+                    ServerState.READY,
+                    ServerState.READY,
+                    ServerState.DRAINING,
+                    ServerState.GONE,
+                ]
+            )
+            if whole and state is ServerState.GONE:
+                state = ServerState.READY
+            born = self.world.now if rng.random() < 0.2 else (known.started_at if known else 0.0)
             number = int(name[1:])
             entries.append(Server(name, number % 2, 0, number % 3, state, 1.0, born))
         if whole:
             for name, known in self.servers.items():
-                self.servers[name] = known._replace(state=State.GONE)
+                self.servers[name] = known._replace(state=ServerState.GONE)
         for entry in entries:
             self.servers[entry.id] = entry
-        self.feed(RosterChanged(RosterKind.WHOLE if whole else RosterKind.CHANGES, tuple(entries)))
+        self.feed(
+            ServerListChanged(ServerListKind.WHOLE if whole else ServerListKind.CHANGES, tuple(entries))
+        )
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from switchhub.decision.interface import Attempt, LoadTold, Move, Refuse, Result, Server
-from tests.world import World, make_settings, server
+from switchhub.decision.interface import Attempt, LoadReported, Move, Refuse, Result, Server
+from tests.balancer_driver import BalancerDriver, make_server, make_settings
 
 FLEET = 200
 
 
-def fleet(*names: str) -> list[World]:
+def fleet(*names: str) -> list[BalancerDriver]:
     """Balancers of one fleet, each with a seed of its own."""
-    worlds = [World(make_settings(fleet_size=FLEET, zone=9), seed=seed) for seed in range(FLEET)]
+    worlds = [BalancerDriver(make_settings(fleet_size=FLEET, zone=9), seed=seed) for seed in range(FLEET)]
     for world in worlds:
-        world.roster(*(server(name) for name in names))
+        world.update_server_list(*(make_server(name) for name in names))
     return worlds
 
 
@@ -24,8 +24,8 @@
     moved = 0
     for world in fleet("a", "b"):
         request = world.adopt("a")
-        world.strain(request, "a", 500.0)
-        moved += len(world.did(Move))
+        world.report_delay(request, "a", 500.0)
+        moved += len(world.last_of(Move))
     assert 0.1 * FLEET < moved < 0.3 * FLEET
 
 
@@ -34,13 +34,13 @@
     let_in = 0
     for world in fleet("a"):
         request = world.adopt("a")
-        world.strain(request, "a", 30.0)
-        world.ask()
-        assert world.did(Refuse)
-        world.strain(request, "a", 0.0)
-        world.wait(10_000.0)
-        world.ask()
-        let_in += not world.did(Refuse)
+        world.report_delay(request, "a", 30.0)
+        world.send_request()
+        assert world.last_of(Refuse)
+        world.report_delay(request, "a", 0.0)
+        world.advance(10_000.0)
+        world.send_request()
+        let_in += not world.last_of(Refuse)
     assert 0.1 * FLEET < let_in < 0.4 * FLEET
 
 
@@ -48,23 +48,25 @@
     names = [f"s{number}" for number in range(20)]
     starts: dict[str, set[str]] = {"g": set(), "h": set(), "i": set(), "j": set()}
     for seed in range(FLEET):
-        world = World(make_settings(fleet_size=FLEET, groups_share_work=True, zone=seed % 3), seed=seed)
-        world.roster(*(server(name, zone=place % 3) for place, name in enumerate(names)))
+        world = BalancerDriver(
+            make_settings(fleet_size=FLEET, groups_share_work=True, zone=seed % 3), seed=seed
+        )
+        world.update_server_list(*(make_server(name, zone=place % 3) for place, name in enumerate(names)))
         for group, found in starts.items():
-            found.add(world.stand(1000.0, group=group))
+            found.add(world.open_connection(1000.0, group=group))
     assert all(len(found) == 1 for found in starts.values())
     assert len(set.union(*starts.values())) > 1, "groups have orders of their own"
 
 
 def test_a_crowded_common_start_is_passed_over() -> None:
-    world = World(make_settings(groups_share_work=True, zone=9))
-    world.roster(server("a"), server("b"), server("c"))
-    start = world.stand(1000.0, group="g")
-    other = World(make_settings(groups_share_work=True, zone=9), seed=2)
-    other.roster(server("a"), server("b"), server("c"))
+    world = BalancerDriver(make_settings(groups_share_work=True, zone=9))
+    world.update_server_list(make_server("a"), make_server("b"), make_server("c"))
+    start = world.open_connection(1000.0, group="g")
+    other = BalancerDriver(make_settings(groups_share_work=True, zone=9), seed=2)
+    other.update_server_list(make_server("a"), make_server("b"), make_server("c"))
     for number in range(5):
         other.adopt(start, 1000.0, group=f"x{number}")
-    assert other.stand(1000.0, group="g") != start
+    assert other.open_connection(1000.0, group="g") != start
 
 
 def test_cold_budget_holds_over_all_balancers_and_is_used() -> None:
@@ -72,14 +74,16 @@
     names = [f"s{number}" for number in range(79)]
     sent = 0
     for seed in range(FLEET):
-        world = World(make_settings(fleet_size=FLEET, zone=9), seed=seed, now=9000.0)
-        world.roster(*(server(name) for name in names), server("new", born=world.now - 3000.0))
+        world = BalancerDriver(make_settings(fleet_size=FLEET, zone=9), seed=seed, now=9000.0)
+        world.update_server_list(
+            *(make_server(name) for name in names), make_server("new", started_at=world.now - 3000.0)
+        )
         for number in range(8):
             world.adopt(names[(7 * seed + 10 * number) % 79])
         for _ in range(6):
-            world.wait(100.0)
-            world.ask()
-            sent += sum(action.server == "new" for action in world.did(Attempt))
+            world.advance(100.0)
+            world.send_request()
+            sent += sum(action.server == "new" for action in world.last_of(Attempt))
     peer = FLEET * 8 / 79  # connections that a warm server holds
     allowed = 2.5 * 0.56 * peer * 2000.0 / 8000.0  # multiple x capacity now x window / warm-up
     assert 0 < sent <= allowed
@@ -92,16 +96,18 @@
     balancers, names = 32, [f"s{number}" for number in range(10)]
     sent = 0
     for seed in range(balancers):
-        world = World(make_settings(fleet_size=balancers, zone=9), seed=seed, now=9000.0)
-        world.roster(*(server(name) for name in names), server("new", born=world.now - 3000.0))
+        world = BalancerDriver(make_settings(fleet_size=balancers, zone=9), seed=seed, now=9000.0)
+        world.update_server_list(
+            *(make_server(name) for name in names), make_server("new", started_at=world.now - 3000.0)
+        )
         for number in range(15):
             request = world.adopt(names[(seed + number) % 10], None)
             if told is not None:
-                world.feed(LoadTold(request, 0, world.where(request), told))
+                world.feed(LoadReported(request, 0, world.server_of(request), told))
         for _ in range(20):
-            world.wait(50.0)
-            world.ask(None)
-            sent += sum(action.server == "new" for action in world.did(Attempt))
+            world.advance(50.0)
+            world.send_request(None)
+            sent += sum(action.server == "new" for action in world.last_of(Attempt))
     peer = balancers * 35 / 10  # connections that a warm server may come to hold
     allowed = 2.5 * 0.6 * peer * 2000.0 / 8000.0  # multiple x capacity now x window / warm-up
     assert 0 < sent <= allowed + 2 * math.sqrt(allowed) + 2
@@ -112,14 +118,16 @@
     warm, new = [f"w{number}" for number in range(4)], [f"n{number}" for number in range(6)]
     sent: dict[str, int] = dict.fromkeys(new, 0)
     for seed in range(40):
-        world = World(make_settings(fleet_size=40, zone=9), seed=seed, now=9000.0)
-        world.roster(*(server(name) for name in warm), *(server(name, born=world.now) for name in new))
+        world = BalancerDriver(make_settings(fleet_size=40, zone=9), seed=seed, now=9000.0)
+        world.update_server_list(
+            *(make_server(name) for name in warm), *(make_server(name, started_at=world.now) for name in new)
+        )
         for number in range(4):
             world.adopt(warm[(seed + number) % 4])
         for _ in range(8):
-            world.wait(250.0)
-            world.ask()
-            for action in world.did(Attempt):
+            world.advance(250.0)
+            world.send_request()
+            for action in world.last_of(Attempt):
                 if action.server in sent:
                     sent[action.server] += 1
     peer = 40 + 40 * 8 / 4  # connections that a warm server may come to hold
@@ -133,12 +141,12 @@
     names = [f"o{number}" for number in range(old)]
     taken = 0
     for seed in range(fleet_of):
-        world = World(make_settings(fleet_size=fleet_of, zone=9), seed=seed, now=20_000.0)
-        fresh = [server(f"n{number}", born=world.now - 9000.0) for number in range(new)]
-        world.roster(*(server(name) for name in names), *fresh)
+        world = BalancerDriver(make_settings(fleet_size=fleet_of, zone=9), seed=seed, now=20_000.0)
+        fresh = [make_server(f"n{number}", started_at=world.now - 9000.0) for number in range(new)]
+        world.update_server_list(*(make_server(name) for name in names), *fresh)
         for number in range(each_holds):
             world.adopt(names[(7 * seed + 5 * number) % old])
-        taken += sum(world.stand().startswith("n") for _ in range(asks))
+        taken += sum(world.open_connection().startswith("n") for _ in range(asks))
     return taken / (fleet_of * asks)
 
 
@@ -154,31 +162,36 @@
 
 def test_a_cold_server_counts_as_a_part_of_one() -> None:
     """Its kind carries enough here for rule 4 to let more in; of all that we hold it has its part already."""
-    world = World(make_settings(zone=9), now=20_000.0)
-    fast, cold = server("fast")._replace(kind=1), server("cold", born=world.now - 4000.0)._replace(kind=1)
-    world.roster(server("idle"), fast, cold)
+    world = BalancerDriver(make_settings(zone=9), now=20_000.0)
+    fast, cold = (
+        make_server("fast")._replace(kind=1),
+        make_server("cold", started_at=world.now - 4000.0)._replace(kind=1),
+    )
+    world.update_server_list(make_server("idle"), fast, cold)
     for _ in range(8):
         world.adopt("fast")
     for _ in range(3):
         world.adopt("cold")  # 0.65 of its power by now, at the least, and so 0.245 of the three
-    assert world.stand(100.0) == "idle"
+    assert world.open_connection(100.0) == "idle"
 
 
 def test_a_new_server_is_measured_by_warm_ones_of_its_kind() -> None:
     """Danger: of two kinds one is twice as fast, and what the fast ones carry pushes a slow one over."""
     sent = {0: 0, 1: 0}
     for seed in range(40):
-        world = World(make_settings(fleet_size=40, zone=9), seed=seed, now=9000.0)
-        slow = [server("s0"), server("s1"), server("new", born=world.now - 2000.0)]
-        fast = [server(name)._replace(kind=1) for name in ("f0", "f1")]
-        world.roster(*slow, *fast, server("fresh", born=world.now - 2000.0)._replace(kind=1))
+        world = BalancerDriver(make_settings(fleet_size=40, zone=9), seed=seed, now=9000.0)
+        slow = [make_server("s0"), make_server("s1"), make_server("new", started_at=world.now - 2000.0)]
+        fast = [make_server(name)._replace(kind=1) for name in ("f0", "f1")]
+        world.update_server_list(
+            *slow, *fast, make_server("fresh", started_at=world.now - 2000.0)._replace(kind=1)
+        )
         for name, held in (("s0", 2), ("s1", 2), ("f0", 9), ("f1", 9)):
             for _ in range(held):
                 world.adopt(name)
         for _ in range(4):
-            world.wait(100.0)
-            world.ask()
-            for action in world.did(Attempt):
+            world.advance(100.0)
+            world.send_request()
+            for action in world.last_of(Attempt):
                 sent[0] += action.server == "new"
                 sent[1] += action.server == "fresh"
     assert 0 < 2 * sent[0] < sent[1]
@@ -186,68 +199,68 @@
 
 @pytest.mark.parametrize("result", [Result.RESET, Result.CANCELLED])
 def test_a_reset_makes_the_rest_the_limit_only_where_strain_is_told(result: Result) -> None:
-    world = World(make_settings(zone=9))
-    world.roster(server("a"))
+    world = BalancerDriver(make_settings(zone=9))
+    world.update_server_list(make_server("a"))
     held = [world.adopt("a") for _ in range(10)]
-    world.end(held[0], result, closed=True)
-    request = world.ask()
-    assert world.did(Attempt), "networks break connections, and clients leave"
-    world.end(request, Result.CANCELLED, closed=True)
-    world.strain(held[1], "a", 30.0)
-    world.end(held[1], result, closed=True)
-    world.ask()
+    world.end_attempt(held[0], result, closed=True)
+    request = world.send_request()
+    assert world.last_of(Attempt), "networks break connections, and clients leave"
+    world.end_attempt(request, Result.CANCELLED, closed=True)
+    world.report_delay(held[1], "a", 30.0)
+    world.end_attempt(held[1], result, closed=True)
+    world.send_request()
     if result is Result.RESET:
-        assert world.did(Refuse), "dropped for what piles up"
+        assert world.last_of(Refuse), "dropped for what piles up"
 
 
 def test_known_servers_all_strained_speak_for_the_unknown() -> None:
     let_in = 0
     for seed in range(FLEET):
-        world = World(make_settings(fleet_size=FLEET, zone=9), seed=seed)
-        world.roster(*(server(f"s{number}") for number in range(40)))
+        world = BalancerDriver(make_settings(fleet_size=FLEET, zone=9), seed=seed)
+        world.update_server_list(*(make_server(f"s{number}") for number in range(40)))
         for number in range(3):
-            world.strain(world.adopt(f"s{number}"), f"s{number}", 30.0)
-        world.ask()
-        let_in += bool(world.did(Attempt))
-        world.wait(2000.0)
-        world.ask()
-        assert world.did(Attempt), "strain told too long ago is no evidence"
+            world.report_delay(world.adopt(f"s{number}"), f"s{number}", 30.0)
+        world.send_request()
+        let_in += bool(world.last_of(Attempt))
+        world.advance(2000.0)
+        world.send_request()
+        assert world.last_of(Attempt), "strain told too long ago is no evidence"
     assert 0.15 * FLEET < let_in < 0.35 * FLEET
 
 
 def test_while_strain_is_told_a_thin_balancer_stays_with_servers_it_knows() -> None:
-    world = World(make_settings(fleet_size=FLEET, zone=9))
-    world.roster(*(server(f"s{number}") for number in range(40)))
+    world = BalancerDriver(make_settings(fleet_size=FLEET, zone=9))
+    world.update_server_list(*(make_server(f"s{number}") for number in range(40)))
     told, calm = world.adopt("s1"), world.adopt("s2")
-    assert world.stand() not in ("s1", "s2"), "no strain told: the least sum decides"
-    world.strain(told, "s1", 30.0)
-    known = {world.where(calm), *(s for s, total in world.balancer.sums().items() if total)} - {"s1"}
-    assert world.stand() in known
-    world.wait(2000.0)
-    assert world.stand() not in ("s1", "s2"), "strain told too long ago is no evidence"
+    assert world.open_connection() not in ("s1", "s2"), "no strain told: the least sum decides"
+    world.report_delay(told, "s1", 30.0)
+    known = {world.server_of(calm), *(s for s, total in world.balancer.sums().items() if total)} - {"s1"}
+    assert world.open_connection() in known
+    world.advance(2000.0)
+    assert world.open_connection() not in ("s1", "s2"), "strain told too long ago is no evidence"
 
 
 def test_with_more_connections_than_servers_sums_speak_for_themselves() -> None:
-    world = World(make_settings(fleet_size=FLEET, zone=9))
-    world.roster(server("a"), server("b"), server("c"))
+    world = BalancerDriver(make_settings(fleet_size=FLEET, zone=9))
+    world.update_server_list(make_server("a"), make_server("b"), make_server("c"))
     held = [world.adopt(name) for name in "aabb"]
-    world.strain(held[0], "a", 30.0)
-    assert world.stand() == "c"
+    world.report_delay(held[0], "a", 30.0)
+    assert world.open_connection() == "c"
 
 
 def moved_by_strain(price: float) -> int:
     """Moves of 20 balancers, 100 connections each, in two seconds in which all ten servers tell of strain."""
     moved = 0
     for seed in range(20):
-        world = World(make_settings(fleet_size=20, zone=9, move_price=price), seed=seed)
+        world = BalancerDriver(make_settings(fleet_size=20, zone=9, move_price=price), seed=seed)
         names = [f"s{number}" for number in range(10)]
-        world.roster(*(server(name) for name in names))
+        world.update_server_list(*(make_server(name) for name in names))
         held = [[world.adopt(name) for _ in range(10)] for name in names]
         for _second in range(2):
             for name, there in zip(names, held, strict=True):
-                world.strain(there[0], name, 500.0)
-                moved += len(world.did(Move))
-            world.wait(1000.0)
+                world.report_delay(there[0], name, 500.0)
+                moved += len(world.last_of(Move))
+            world.advance(1000.0)
     return moved
 
 
@@ -259,14 +272,14 @@
     """Moves of 200 balancers with 8 connections at 10 servers, in four seconds in which two strain."""
     moved = 0
     for seed in range(FLEET):
-        world = World(make_settings(fleet_size=FLEET, zone=9, move_price=price), seed=seed)
-        world.roster(*(server(f"s{number}") for number in range(10)))
+        world = BalancerDriver(make_settings(fleet_size=FLEET, zone=9, move_price=price), seed=seed)
+        world.update_server_list(*(make_server(f"s{number}") for number in range(10)))
         held = [[world.adopt(f"s{number}") for _ in range(4)] for number in range(2)]
         for _second in range(4):
             for number, there in enumerate(held):
-                world.strain(there[0], f"s{number}", 500.0)
-                moved += len(world.did(Move))
-            world.wait(1000.0)
+                world.report_delay(there[0], f"s{number}", 500.0)
+                moved += len(world.last_of(Move))
+            world.advance(1000.0)
     return moved
 
 
@@ -290,12 +303,14 @@
 
 def test_a_placement_looks_at_each_server_a_few_times_however_many_are_cold() -> None:
     """Danger: the warm looked through anew for each cold one: 46 ms a placement with 600 new of 1,000."""
-    world = World(make_settings(zone=9), now=9000.0)
-    servers = [server(f"s{number}", born=world.now if number % 2 else 0.0) for number in range(200)]
-    world.roster(*(_Read(*each) for each in servers))
+    world = BalancerDriver(make_settings(zone=9), now=9000.0)
+    servers = [
+        make_server(f"s{number}", started_at=world.now if number % 2 else 0.0) for number in range(200)
+    ]
+    world.update_server_list(*(_Read(*each) for each in servers))
     _Read.reads = 0
-    world.ask()
-    assert world.did(Attempt)
+    world.send_request()
+    assert world.last_of(Attempt)
     assert 0 < _Read.reads <= 200
 
 
@@ -303,9 +318,9 @@
     names = [f"s{number}" for number in range(20)]
     starts = set()
     for seed in range(20):
-        world = World(make_settings(groups_share_work=True, zone=9), seed=seed)
-        world.roster(*(server(name) for name in names))
+        world = BalancerDriver(make_settings(groups_share_work=True, zone=9), seed=seed)
+        world.update_server_list(*(make_server(name) for name in names))
         for _ in range(5):
             world.adopt(names[0], 1.0, group="x")
-        starts.add(world.stand(1000.0, group="g"))
+        starts.add(world.open_connection(1000.0, group="g"))
     assert len(starts) > 5
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from switchhub.decision.brain import Balancer
+from switchhub.decision.placement import Balancer
 from switchhub.wirehost.loop import serve
 
 ROOT = Path(__file__).parent.parent
