--- a/switchhub/lab/earlier.py
+++ b/switchhub/lab/earlier.py
@@ -1,7 +1,8 @@
-"""Another checkout's decisions behind this one's facade, for comparisons in virtual time.
+"""Another checkout's decision module behind this one's facade types, to compare both in virtual time.
 
-Owns: the other checkout's modules, loaded beside ours under their own objects. Must never: leave them in
-`sys.modules`, where ours stand, or let their types meet ours: each value is translated by its type's name.
+Owns: the other checkout's modules, which are loaded beside ours and never stay in `sys.modules`. Values are
+translated in both directions by the names of their types, fields and enum members, because both checkouts
+define types of their own; names from before a rename are listed in `former_names.py`.
 """
 
 from __future__ import annotations
@@ -15,26 +16,30 @@
 from types import ModuleType
 from typing import Any
 
-from switchhub.decision import facade as ours
-from switchhub.decision import interface
+from switchhub.decision import facade as our_facade
+from switchhub.decision import interface as our_interface
 from switchhub.decision.facade import Observation, PendingActions, Pick
 from switchhub.decision.interface import Request, Settings
 from switchhub.lab.baselines import Decider
+from switchhub.lab.former_names import current_type_name, find_type, rename_fields
 from switchhub.lab.model import Maker, Run
 
 
 @lru_cache(maxsize=8)
 def load(checkout: Path) -> tuple[ModuleType, ModuleType]:
-    """The other checkout's facade and interface."""
+    """The other checkout's facade and interface modules.
+
+    Raises ImportError if the checkout has no decision module, or if one from elsewhere was imported.
+    """
     kept = {name: sys.modules.pop(name) for name in list(sys.modules) if name.split(".")[0] == "switchhub"}
     sys.path.insert(0, str(checkout))
     try:
         facade = importlib.import_module("switchhub.decision.facade")
-        types = importlib.import_module("switchhub.decision.interface")
+        interface = importlib.import_module("switchhub.decision.interface")
         found = Path(facade.__file__ or "").resolve()
         if checkout not in found.parents:
-            raise ImportError(f"{found} is not of {checkout}")
-        return facade, types
+            raise ImportError(f"imported {found}, which is not in the checkout {checkout}")
+        return facade, interface
     finally:
         sys.path.remove(str(checkout))
         for name in [name for name in sys.modules if name.split(".")[0] == "switchhub"]:
@@ -42,54 +47,54 @@
         sys.modules.update(kept)
 
 
-class Earlier:
-    """Speaks as our facade does, and decides as the other one."""
+class OtherCheckout:
+    """Has this checkout's facade interface, and decides with the other checkout's facade."""
 
     def __init__(self, checkout: Path, settings: Settings, seed: int, now: float) -> None:
-        self._facade, self._types = load(checkout)
-        self._inner = self._facade.Facade(self._theirs(settings), seed, now)
+        self._facade, self._interface = load(checkout)
+        self._inner = self._facade.Facade(self._translate(settings), seed, now)
 
     def pick(self, now: float, request: Request) -> Pick:
-        """Where a request goes, or its final answer."""
-        found = self._inner.pick(now, self._theirs(request))
-        kind = getattr(ours, type(found).__name__)
+        """The server for a request's next attempt, or the request's final answer."""
+        found = self._inner.pick(now, self._translate(request))
+        kind = getattr(our_facade, current_type_name(type(found).__name__))
         pick: Pick = kind(*found)
         return pick
 
-    def report(self, now: float, news: Observation) -> None:
-        """Tell what was seen."""
-        self._inner.report(now, self._theirs(news))
+    def report(self, now: float, observation: Observation) -> None:
+        """Pass on what the network observed."""
+        self._inner.report(now, self._translate(observation))
 
     def tick(self, now: float) -> PendingActions:
-        """What is to be done."""
+        """Let due timers fire; the actions that have become pending since the last call."""
         return PendingActions(*self._inner.tick(now))
 
-    def _theirs(self, value: Any) -> Any:
+    def _translate(self, value: Any) -> Any:
+        """The same value in the other checkout's types; fields that those lack are left out."""
         if isinstance(value, Enum):
-            return getattr(self._types, type(value).__name__)[value.name]
+            return find_type(self._interface, type(value).__name__)[value.name]
         if is_dataclass(value) and not isinstance(value, type):
-            kind = getattr(self._types, type(value).__name__)
-            known = {each.name for each in fields(kind)}
-            told = {each.name: self._theirs(getattr(value, each.name)) for each in fields(value)}
-            return kind(**{name: each for name, each in told.items() if name in known})
+            values = {each.name: getattr(value, each.name) for each in fields(value)}
+            return self._build(self._interface, type(value).__name__, values)
         if isinstance(value, tuple):
             if hasattr(value, "_fields"):
-                home = self._types if hasattr(interface, type(value).__name__) else self._facade
-                kind = getattr(home, type(value).__name__)
-                told = {
-                    name: self._theirs(each)
-                    for name, each in zip(value._fields, value, strict=True)
-                    if name in kind._fields
-                }
-                return kind(**told)
-            return tuple(self._theirs(each) for each in value)
+                name = type(value).__name__
+                home = self._interface if hasattr(our_interface, name) else self._facade
+                return self._build(home, name, dict(zip(value._fields, value, strict=True)))
+            return tuple(self._translate(each) for each in value)
         return value
 
+    def _build(self, home: ModuleType, name: str, values: dict[str, Any]) -> Any:
+        """An instance of the type that `home` has under this name, current or former."""
+        kind = find_type(home, name)
+        known = rename_fields(kind, name, values)
+        return kind(**{field: self._translate(each) for field, each in known.items()})
+
 
 def maker(checkout: Path) -> Maker:
-    """How its deciders are made."""
+    """A function that makes deciders with the checkout's decision module."""
 
     def make(settings: Settings, seed: int, now: float, _run: Run, _index: int) -> Decider:
-        return Earlier(checkout, settings, seed, now)
+        return OtherCheckout(checkout, settings, seed, now)
 
     return make
