--- a/switchhub/__main__.py
+++ b/switchhub/__main__.py
@@ -20,14 +20,14 @@
 from loguru import logger
 
 from switchhub.net.config import Config, ConfigError, read_config
-from switchhub.net.lines import FOR_FILES
+from switchhub.net.line_socket import RESERVED_DESCRIPTORS
 from switchhub.net.listener import Listener
 
 if TYPE_CHECKING:
     from switchhub.handover.receiver import HandoverReceiver
     from switchhub.peers.node import PeerNode
 
-FEWEST = FOR_FILES + 8  # descriptors with which a balancer can serve anybody
+FEWEST = RESERVED_DESCRIPTORS + 8  # descriptors with which a balancer can serve anybody
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
@@ -65,13 +65,13 @@
     """Run one balancer until a signal stops it."""
     listener = Listener(config, await handover_receiver(config))
     if node is not None:
-        listener.lifecycle.followers.append(node.on_phase_change)
+        listener.lifecycle.observers.append(node.on_phase_change)
         listener.pages.update(node.pages())
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, listener.stop)
     loop.add_signal_handler(signal.SIGHUP, listener.reload)
-    loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counters {}", listener.counters.line()))
+    loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counters {}", listener.counters.summary()))
     try:
         await listener.run()
     finally:
--- a/switchhub/admission/gate.py
+++ b/switchhub/admission/controller.py
@@ -13,17 +13,22 @@
 
 from enum import Enum
 
-PER_TURN = 8  # set-ups that may begin in one turn of the event loop
-TURN = 2.0  # how long one turn lasts at most where nobody waits
-PROMPT = 12.0  # age of a first line up to which the process counts as prompt; the kernel counts in steps of 4
+SETUPS_PER_TURN = 8  # set-ups that may begin in one turn of the event loop
+TURN_MS = 2.0  # how long one turn lasts at most where nobody waits
+PROMPT_AGE_MS = (
+    12.0  # age of a first line up to which the process counts as prompt; the kernel counts in steps of 4
+)
 COST, SPENT = 1.0, 8.0  # of a set-up, until it is measured: work, and time from its start to its answer
 MEMORY, QUICK = 1 / 32, 1 / 8  # weight of the newest measure; of work, which a storm changes in a few turns
 COST_MAX = 20.0  # a turn that took longer per set-up was held up by something else
 SLOWEST = 250.0  # set-ups that took longer waited for their server
-CARE, SPARE = 1.5, 30.0  # times that a set-up may take its usual time, and what is left over besides
+SETUP_TIME_FACTOR, SETUP_MARGIN_MS = (
+    1.5,
+    30.0,
+)  # times that a set-up may take its usual time, and what is left over besides
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """What becomes of a request now."""
 
     START = "start"
@@ -31,55 +36,55 @@
     REFUSE = "refuse"
 
 
-class Gate:
+class AdmissionController:
     """One process's own pace."""
 
     def __init__(self) -> None:
-        self.cost, self.spent = COST, SPENT
+        self.setup_cost, self.setup_duration = COST, SPENT
         self.waiting = 0  # requests that wait for their turn
         self._turn_at = 0.0
         self._begun = 0  # in this turn
         self._released = 0  # in the last turn of those that waited
 
-    def prompt(self, now: float, age: float) -> bool:
+    def can_start_now(self, now: float, age: float) -> bool:
         """Whether a request can start at once: nobody waits, the turn has room, and it was read in time."""
-        if now - self._turn_at > TURN:
+        if now - self._turn_at > TURN_MS:
             self._turn_at, self._begun = now, 0
-        return not self.waiting and self._begun < PER_TURN and age < PROMPT
+        return not self.waiting and self._begun < SETUPS_PER_TURN and age < PROMPT_AGE_MS
 
-    def verdict(self, now: float, age: float, wait: float) -> Verdict:
+    def decide(self, now: float, age: float, wait: float) -> AdmissionDecision:
         """What becomes of a request whose last byte came `age` ago and whose client waits for `wait` in
         all."""
-        if self.prompt(now, age):
+        if self.can_start_now(now, age):
             self._begun += 1
-            return Verdict.START
-        return Verdict.REFUSE if self.hopeless(age, wait) else Verdict.WAIT
+            return AdmissionDecision.START
+        return AdmissionDecision.REFUSE if self.would_be_late(age, wait) else AdmissionDecision.WAIT
 
-    def hopeless(self, age: float, wait: float) -> bool:
+    def would_be_late(self, age: float, wait: float) -> bool:
         """Whether its turn would come too late."""
-        return not self._in_time(age + (self.waiting + 1) * self.cost, wait)
+        return not self._in_time(age + (self.waiting + 1) * self.setup_cost, wait)
 
-    def latest(self, arrived: float, wait: float) -> float:
+    def latest_start(self, arrived: float, wait: float) -> float:
         """When a set-up must start at the latest to be in time; past that it is to be refused at once."""
-        return arrived + wait - CARE * self.spent - SPARE
+        return arrived + wait - SETUP_TIME_FACTOR * self.setup_duration - SETUP_MARGIN_MS
 
     def _in_time(self, age: float, wait: float) -> bool:
-        return age + CARE * self.spent + SPARE <= wait
+        return age + SETUP_TIME_FACTOR * self.setup_duration + SETUP_MARGIN_MS <= wait
 
-    def turn(self, now: float) -> int:
+    def next_batch(self, now: float) -> int:
         """A turn of the loop begins while requests wait: how many of them may start in it."""
         if self._released:
             cost = min((now - self._turn_at) / self._released, COST_MAX)
-            self.cost += QUICK * (cost - self.cost)
+            self.setup_cost += QUICK * (cost - self.setup_cost)
         self._turn_at = now
-        self._released = self._begun = min(self.waiting, PER_TURN)
+        self._released = self._begun = min(self.waiting, SETUPS_PER_TURN)
         return self._begun
 
-    def rest(self) -> None:
+    def queue_emptied(self) -> None:
         """Nobody waits any more; the next turn may be long after."""
         self._released = 0
 
-    def answered(self, spent: float) -> None:
+    def record_setup(self, spent: float) -> None:
         """A set-up came up so long after its start."""
         if spent < SLOWEST:
-            self.spent += MEMORY * (spent - self.spent)
+            self.setup_duration += MEMORY * (spent - self.setup_duration)
--- a/switchhub/handover/link.py
+++ b/switchhub/handover/link.py
@@ -32,7 +32,7 @@
 )
 from switchhub.handover.channel import Channel
 from switchhub.net.config import ConfigError, parse_address, parse_listing
-from switchhub.net.lines import LineError
+from switchhub.net.line_socket import LineError
 from switchhub.net.session import Session
 
 if TYPE_CHECKING:
@@ -113,7 +113,9 @@
         if self.side is None:
             return self.send(messages.encode_message("take"))
         word = self.side.take_over(time.monotonic(), above)
-        self.send(messages.encode_message("take", queue=self._node.queue(), generation=word.generation))
+        self.send(
+            messages.encode_message("take", queue=self._node.accept_queue_id(), generation=word.generation)
+        )
 
     def give_way(self, generation: int) -> None:
         """The newer one has taken over."""
@@ -127,9 +129,9 @@
         if now - self._looked > ABANDON_TIMEOUT_S / 2:
             self._told.clear()  # the other may have given us up
         self._looked = now
-        if not node.full:  # one without descriptors accepts nobody, as one that stands still
+        if not node.out_of_descriptors:  # one without descriptors accepts nobody, as one that stands still
             self._turned = now
-        side.shutting_down = node.lifecycle.leaving
+        side.shutting_down = node.lifecycle.stopping
         held = side.holds_right
         if (word := side.tick(now, self._channel.unread())) is not None:
             self.send(messages.encode_message("right", **word._asdict()))
@@ -184,7 +186,7 @@
     async def follow(self) -> None:
         """Until the other has gone: `ConnectionResetError`. An older one takes no word that it does not
         know."""
-        self._node.join(self)
+        self._node.add_link(self)
         watching = asyncio.create_task(self._look_on())
         try:
             if self.side is not None:
@@ -212,7 +214,7 @@
         self._channel.close()
         self.lost = len(self._theirs)
         self.end(list(self._theirs))
-        self._node.part(self)
+        self._node.remove_link(self)
 
     async def _look_on(self) -> None:
         while True:
@@ -221,7 +223,7 @@
                     self._turn()
                 if self.side is not None or not self.is_newer:
                     self.tell()
-                self._node.settle()
+                self._node.apply_handover_state()
             except Exception:  # a defect of ours; the right is worth more
                 self._node.counters.add("errors")
                 logger.exception("the hand-over broke")
@@ -264,7 +266,7 @@
         finally:
             if self.side is not None and not self._channel.unread():
                 self.side.mark_all_read()
-            self._node.share_sockets()
+            self._node.update_socket_budget()
             for sock in sockets:
                 sock.close()
 
@@ -291,7 +293,7 @@
             listing = parse_listing(values["listing"], node.config.zones, node.config.kinds)
             if node.serving and listing.version <= node.discovery.version:
                 return
-            node.discovery.inherit(parse_address(values["discovery"]), listing)
+            node.discovery.load_predecessor_listing(parse_address(values["discovery"]), listing)
         except (AttributeError, ConfigError, KeyError, TypeError) as error:
             raise messages.MessageError(f"known: {type(error).__name__}: {error}") from None
 
@@ -305,7 +307,7 @@
         if held.id in self._theirs:
             self.end([held.id])
         self._theirs[held.id] = held
-        node.ids.take(held.id)
+        node.ids.reserve(held.id)
         logger.debug("{} is the {} process's, at {}", held.id, self._other, held.server)
         request = messages.request_of(held, node.config.classes, node.config.tenants)
         node.facade.report(node.clock(), Adopted(request, held.server))
@@ -315,7 +317,7 @@
         for name in names:
             if self._theirs.pop(name, None) is not None:
                 self._to_move.discard(name)
-                self._node.ids.end(name)
+                self._node.ids.release(name)
                 self._node.facade.report(self._node.clock(), Ended(name, 0.0, Result.CANCELLED, True))
 
     @property
@@ -335,12 +337,12 @@
         request = messages.request_of(held, node.config.classes, node.config.tenants)
         try:
             wires = (
-                node.sockets.passed_on(client, passed.from_client),
-                node.sockets.passed_on(server, passed.from_server),
+                node.sockets.from_predecessor(client, passed.from_client),
+                node.sockets.from_predecessor(server, passed.from_server),
             )
         except LineError as error:
             raise messages.MessageError(f"pass: {error}") from None
-        node.go_on(Session.passed(node, passed, *wires, request))
+        node.resume_session(Session.from_predecessor(node, passed, *wires, request))
 
     def move(self, name: str) -> bool:
         """The module wants a connection moved; whether it is one of the old process, then as soon as it is
@@ -355,7 +357,7 @@
     def introduce(self) -> None:
         """Say what this process knows and holds, to one that takes over."""
         node = self._node
-        address, listing = node.discovery.whole()
+        address, listing = node.discovery.snapshot()
         self.send(messages.encode_message("known", discovery="{}:{}".format(*address), listing=listing))
         self.tell()
         self.send(
@@ -365,10 +367,12 @@
     def tell(self) -> None:
         """What has changed among the connections held since the last time."""
         sessions, told = self._node.sessions, self._told
-        places = {name: each.place for name, each in sessions.items()}  # none before a server is chosen
+        places = {
+            name: each.current_server for name, each in sessions.items()
+        }  # none before a server is chosen
         ended = [name for name, where in told.items() if places.get(name) != where]
         moved = [name for name, where in places.items() if where and told.get(name) != where]
-        new = [held for name in moved if (held := sessions[name].held()) is not None]
+        new = [held for name in moved if (held := sessions[name].handover_record()) is not None]
         if ended:
             self.send(messages.encode_message("ended", ids=ended))
         self._tell_sent(time.monotonic())
--- a/switchhub/handover/sender.py
+++ b/switchhub/handover/sender.py
@@ -139,7 +139,7 @@
                 async with asyncio.timeout(SEEK):
                     await self._gone.wait()
             self._gone.clear()
-            if not node.serving or not node.holds or node.lifecycle.leaving or self._here():
+            if not node.serving or not node.holds_accept_right or node.lifecycle.stopping or self._here():
                 continue  # who has just given way still accepts, and must not take the newer one's place
             try:
                 channel = self._other()
@@ -163,7 +163,7 @@
         """Be the older one to whoever stands there; not if it is older, or silent."""
         try:
             listen = list(self._node.address())
-            queue = self._node.queue()
+            queue = self._node.accept_queue_id()
             channel.send(
                 messages.encode_message(
                     "join", form=messages.PROTOCOL_VERSION, listen=listen, queue=queue, born=self._born
@@ -195,7 +195,7 @@
                 channel.send(messages.encode_message("no", why="another form or another address"))
                 raise messages.MessageError(f"{kind} {values}")
             told = messages.encode_message("listener", generation=self._generation())
-            channel.send(told, node.listening_copy())
+            channel.send(told, node.duplicate_listening_socket())
             async with asyncio.timeout(TAKE_WITHIN):
                 kind, values = await self._hear(channel)
             if kind != "take":
@@ -213,7 +213,7 @@
         if born >= self._born:
             channel.send(messages.encode_message("no", why="it is newer"))
             return channel.close()
-        common = values.get("queue") == self._node.queue()
+        common = values.get("queue") == self._node.accept_queue_id()
         link = ProcessLink(self._node, channel, is_newer=True, beats=True, shares_queue=common)
         link.known.set()
         logger.info("joined by an older process")
@@ -228,10 +228,10 @@
         """The new process takes over, until it or this one ends."""
         node = self._node
         try:
-            if not node.lifecycle.yield_to():
-                raise messages.MessageError(f"take while {node.condition()}")
+            if not node.lifecycle.supersede():
+                raise messages.MessageError(f"take while {node.phase_name()}")
             queue = values.get("queue")  # an older form has no queue of its own, and does not beat
-            common = queue is None or queue == node.queue()
+            common = queue is None or queue == node.accept_queue_id()
             link = ProcessLink(node, channel, is_newer=False, beats=queue is not None, shares_queue=common)
             link.give_way(messages.non_negative_int(values.get("generation", 0)))
             logger.info("giving way with {} sessions", len(node.sessions))
@@ -245,7 +245,7 @@
             logger.exception("the hand-over broke")
         finally:
             channel.close()
-            node.settle()
+            node.apply_handover_state()
             self._gone.set()
 
     async def _hear(self, channel: Channel) -> tuple[str, dict[str, Any]]:
@@ -263,12 +263,12 @@
 
     async def pass_on_all(self) -> None:
         """Part with every connection that stands, a few at a time; what comes up later goes the same way."""
-        standing = [each for each in self._node.sessions.values() if each.up]
+        standing = [each for each in self._node.sessions.values() if each.established]
         for at in range(0, len(standing), AT_ONCE):
             successor = self.successor
             if successor is None or not successor.can_receive_connections or not await successor.room():
                 return
-            await asyncio.gather(*(each.pass_on(successor.pass_on) for each in standing[at : at + AT_ONCE]))
+            await asyncio.gather(*(each.hand_over(successor.pass_on) for each in standing[at : at + AT_ONCE]))
 
     def close(self) -> None:
         """Nobody is offered anything any more."""
--- a/switchhub/lab/model.py
+++ b/switchhub/lab/model.py
@@ -26,9 +26,14 @@
 from switchhub.lab.stand_in import StandIn, Verdict, places
 from switchhub.lab.tally import BIN, Tally
 from switchhub.lab.timeline import Change, Interval, Timeline, expand, heard, names_met
-from switchhub.net.health import Health
-from switchhub.net.listener import MOVE_FROM, MOVE_TO, STOP_MAX, STOP_SPARE
-from switchhub.net.session import EARLY, SILENT_AFTER, SILENT_TOO
+from switchhub.net.health import ServerHealth
+from switchhub.net.listener import (
+    STOP_DEADLINE_MAX_S,
+    STOP_MARGIN_S,
+    STOP_MOVE_BEGIN_FRACTION,
+    STOP_MOVE_END_FRACTION,
+)
+from switchhub.net.session import ANSWER_MARGIN_MS, SILENCE_TIMEOUT_MS, SILENT_SERVER_TIMEOUT_MS
 
 EPOCH = 1_000_000.0  # milliseconds on the facade's clock when a run starts
 TICK, CHECK, SLOT = (
@@ -82,7 +87,7 @@
         self.facade = run.make(run.settings[index], seed, run.ms, run, index)
         self.conns: dict[str, Conn] = {}
         self.ready: set[str] = set()
-        self.health = Health()
+        self.health = ServerHealth()
         self.waiting: dict[str, Conn] = {}
         self.watching = False
         self.alive, self.stopping = True, False
@@ -93,7 +98,7 @@
 
     def take(self, client: Client, name: str, wait: float) -> None:
         """A first line has come."""
-        budget = wait * 1000 - EARLY
+        budget = wait * 1000 - ANSWER_MARGIN_MS
         request = Request(
             name, client.kind, budget, client.tenant, client.hint, client.key, client.group, client.again
         )
@@ -161,7 +166,7 @@
             return
         run = self.run
         conn.up, conn.up_at = True, run.now
-        self.health.answered(conn.server, run.ms)
+        self.health.record_answer(conn.server, run.ms)
         self.facade.report(run.ms, Up(conn.id, (run.now - conn.started) * 1000))
         self.answer(conn, f"UP {receipt}")
 
@@ -189,7 +194,7 @@
     def measured(self, conn: Conn, delay: float) -> None:
         """A line has been answered after so many seconds."""
         ms = self.run.ms
-        self.health.answered(conn.server, ms)
+        self.health.record_answer(conn.server, ms)
         self.facade.report(ms, Delay(conn.id, delay * 1000))
 
     def over(self, conn: Conn, result: Result) -> None:
@@ -233,10 +238,12 @@
                 waits.setdefault(conn.server, []).append(now - EPOCH - conn.asked[0][1] * 1000)
             else:
                 del self.waiting[conn.id]
-        silent = {name for name, each in waits.items() if self.health.silent(name, len(each), max(each), now)}
+        silent = {
+            name for name, each in waits.items() if self.health.is_silent(name, len(each), max(each), now)
+        }
         for conn in list(self.waiting.values()):
             wait = now - EPOCH - conn.asked[0][1] * 1000
-            if wait > (SILENT_TOO if conn.server in silent else SILENT_AFTER):
+            if wait > (SILENT_SERVER_TIMEOUT_MS if conn.server in silent else SILENCE_TIMEOUT_MS):
                 self.run.tally.event(self.run.now, "ends.silent")
                 self.move(conn.id, Result.TIMEOUT)
 
@@ -256,10 +263,10 @@
         run = self.run
         self.stopping = True
         longest = max(each.deadline_ms for each in run.scenario.classes) / 1000
-        given = min(longest, STOP_MAX) + STOP_SPARE
-        start, end = run.now + given * MOVE_FROM, run.now + given * MOVE_TO
+        given = min(longest, STOP_DEADLINE_MAX_S) + STOP_MARGIN_S
+        start, end = run.now + given * STOP_MOVE_BEGIN_FRACTION, run.now + given * STOP_MOVE_END_FRACTION
         steps = int((end - start) / TICK)
-        for step in range(int(given * (1 - MOVE_FROM) / TICK) + 1):
+        for step in range(int(given * (1 - STOP_MOVE_BEGIN_FRACTION) / TICK) + 1):
             run.at(start + step * TICK, self.empty, max(0, steps - step))
         run.at(run.now + FRONT_OUT, run.front.out, self.index)
         run.at(run.now + given + KILL_SPARE, run.kill, self)
--- a/switchhub/lifecycle/pace.py
+++ b/switchhub/lifecycle/move_pacer.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 
-class Pace:
+class MovePacer:
     """Moves spread evenly between two moments; after the second, whoever still comes up goes at once."""
 
     def __init__(self, begins: float, ends: float) -> None:
--- a/switchhub/lifecycle/phase.py
+++ b/switchhub/lifecycle/phase.py
@@ -4,9 +4,9 @@
 health check, the listener and the stop ask here.
 
     starting -> ready <-> draining           by `begin`, `drain`, `restore`
-    any of these -> giving way -> stopping   by `yield_to`, `stop`; nothing leads back from stopping
+    any of these -> giving way -> stopping   by `supersede`, `stop`; nothing leads back from stopping
 
-Giving way is taken back by `take_back` when the new process turns out to be gone before this one was told to
+Giving way is taken back by `reinstate` when the new process turns out to be gone before this one was told to
 stop. A process that gave way says yes to `PING`, for the clients' address is the new process's by then and a
 no would close it; its own health check says no, and `ok` can't bring it back.
 """
@@ -23,7 +23,7 @@
     STARTING = "starting"
     READY = "ready"
     DRAINING = "draining"
-    GIVING_WAY = "giving way to a new version"
+    SUPERSEDED = "giving way to a new version"
     STOPPING = "stopping"
 
 
@@ -31,7 +31,7 @@
     """The state machine."""
 
     def __init__(self) -> None:
-        self.followers: list[Callable[[Phase], None]] = []  # told of each change; they may not wait
+        self.observers: list[Callable[[Phase], None]] = []  # told of each change; they may not wait
         self._phase = Phase.STARTING
         self._begun = self._drained = self._yielded = False
 
@@ -44,7 +44,7 @@
     def phase(self, phase: Phase) -> None:
         if phase is not self._phase:
             self._phase = phase
-            for follower in self.followers:
+            for follower in self.observers:
                 follower(phase)
 
     @property
@@ -59,7 +59,7 @@
         return self._yielded or (self._begun and not self._drained)
 
     @property
-    def leaving(self) -> bool:
+    def stopping(self) -> bool:
         """Whether nothing leads back."""
         return self.phase is Phase.STOPPING
 
@@ -74,26 +74,26 @@
         if self._drained or self.phase is Phase.STOPPING:
             return False
         self._drained = True
-        if self.phase is not Phase.GIVING_WAY:
+        if self.phase is not Phase.SUPERSEDED:
             self.phase = Phase.DRAINING
         return True
 
     def restore(self) -> bool:
         """Told to go back to work; whether it can: not while it stops or another process serves."""
-        if self.phase in (Phase.GIVING_WAY, Phase.STOPPING):
+        if self.phase in (Phase.SUPERSEDED, Phase.STOPPING):
             return False
         self._drained = False
         self.phase = Phase.READY if self._begun else Phase.STARTING
         return True
 
-    def yield_to(self) -> bool:
+    def supersede(self) -> bool:
         """A new process serves the address now; whether that can be."""
-        if self.phase in (Phase.GIVING_WAY, Phase.STOPPING):
+        if self.phase in (Phase.SUPERSEDED, Phase.STOPPING):
             return False
-        self.phase, self._yielded = Phase.GIVING_WAY, True
+        self.phase, self._yielded = Phase.SUPERSEDED, True
         return True
 
-    def take_back(self) -> bool:
+    def reinstate(self) -> bool:
         """The new process has gone; whether this one is what it was before."""
         self._yielded = False
         if self.phase is Phase.STOPPING:
--- a/switchhub/management/calls.py
+++ b/switchhub/management/endpoints.py
@@ -9,23 +9,23 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, Protocol
 
-Page = Callable[[str, str], tuple[int, str]]
+PageHandler = Callable[[str, str], tuple[int, str]]
 
 
-class Managed(Protocol):
+class ManagedBalancer(Protocol):
     """What is asked of a balancer here."""
 
     @property
-    def pages(self) -> Mapping[str, Page]:
+    def pages(self) -> Mapping[str, PageHandler]:
         """Further paths: method and query in, status and text out. `GET` changes nothing."""
 
     def healthy(self) -> bool:
         """Whether this process is ready to serve."""
 
-    def condition(self) -> str:
+    def phase_name(self) -> str:
         """What it is, in a word or two."""
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The figures, in the operators' form."""
 
     def drain(self) -> None:
@@ -35,7 +35,7 @@
         """Back to work; whether that can be."""
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """What the caller hears."""
 
     status: int
@@ -43,29 +43,29 @@
     allow: str = ""
 
 
-_Call = Callable[[Managed], Answer]
+_Call = Callable[[ManagedBalancer], Response]
 
 
-def _health(node: Managed) -> Answer:
-    return Answer(200 if node.healthy() else 503, f"{node.condition()}\n")
+def _health(node: ManagedBalancer) -> Response:
+    return Response(200 if node.healthy() else 503, f"{node.phase_name()}\n")
 
 
-def _stats(node: Managed) -> Answer:
-    return Answer(200, node.figures())
+def _stats(node: ManagedBalancer) -> Response:
+    return Response(200, node.metrics())
 
 
-def _fail(node: Managed) -> Answer:
+def _fail(node: ManagedBalancer) -> Response:
     node.drain()
-    return Answer(200, f"{node.condition()}\n")
+    return Response(200, f"{node.phase_name()}\n")
 
 
-def _ok(node: Managed) -> Answer:
+def _ok(node: ManagedBalancer) -> Response:
     if node.restore():
-        return Answer(200, f"{node.condition()}\n")
-    return Answer(409, f"can't go back to work: {node.condition()}\n")
+        return Response(200, f"{node.phase_name()}\n")
+    return Response(409, f"can't go back to work: {node.phase_name()}\n")
 
 
-CALLS: dict[str, dict[str, _Call]] = {
+ENDPOINTS: dict[str, dict[str, _Call]] = {
     "/healthcheck": {"GET": _health},
     "/stats": {"GET": _stats},
     "/healthcheck/fail": {"PUT": _fail},
@@ -73,16 +73,16 @@
 }
 
 
-def answer(node: Managed, method: str, target: str) -> Answer:
+def handle_request(node: ManagedBalancer, method: str, target: str) -> Response:
     """What becomes of this call; a query behind the path is passed over."""
     path, _, query = target.partition("?")
-    calls = CALLS.get(path)
+    calls = ENDPOINTS.get(path)
     if calls is None and path in node.pages:
-        return Answer(*node.pages[path](method, query))
+        return Response(*node.pages[path](method, query))
     if calls is None:
-        return Answer(404, f"no such path; there are {', '.join([*CALLS, *node.pages])}\n")
+        return Response(404, f"no such path; there are {', '.join([*ENDPOINTS, *node.pages])}\n")
     call = calls.get(method)
     if call is None:
         allow = ", ".join(calls)
-        return Answer(405, f"this path takes {allow}\n", allow)
+        return Response(405, f"this path takes {allow}\n", allow)
     return call(node)
--- a/switchhub/management/figures.py
+++ b/switchhub/management/metrics.py
@@ -16,7 +16,7 @@
 }
 
 
-def write(
+def format_metrics(
     classes: Iterable[str],
     answers: Mapping[tuple[str, str], int],
     dispatches: int,
--- a/switchhub/management/server.py
+++ b/switchhub/management/server.py
@@ -1,6 +1,6 @@
 """The sockets behind the management address.
 
-Owns: the listening socket there and every caller's. Must never: decide anything (`calls` does), wait on a
+Owns: the listening socket there and every caller's. Must never: decide anything (`endpoints` does), wait on a
 client, a server or discovery, or let one caller stand in another's way.
 
 One call to a connection. A call is answered as soon as its head is whole, in the turn of the loop that read
@@ -8,8 +8,9 @@
 
 Danger: callers that say nothing hold a descriptor each. They get so long, and at most so many are held; over
 that the one that has been silent longest goes. Clients and servers can't use up these descriptors: they are
-set apart at the start (`ROOM`). And callers that come again as soon as they are given up would eat the core:
-so many are taken in at once, then the others have their turn; a full backlog is still done in under a second.
+set apart at the start (`RESERVED_DESCRIPTORS`). And callers that come again as soon as they are given up
+would eat the core: so many are taken in at once, then the others have their turn; a full backlog is still
+done in under a second.
 """
 
 from __future__ import annotations
@@ -22,16 +23,21 @@
 import httptools
 from loguru import logger
 
-from switchhub.management.calls import Answer, Managed, answer
+from switchhub.management.endpoints import ManagedBalancer, Response, handle_request
 from switchhub.net.config import Address, ConfigError
 
-CALLERS = 48  # that are held at a time
-AT_ONCE, PAUSE = 32, 0.01  # callers taken in within so many seconds at most: a silent one has 15 ms at least
-ROOM = CALLERS + 8  # descriptors set apart: the callers, the listening socket, one being accepted
+MAX_CONNECTIONS = 48  # that are held at a time
+ACCEPT_BATCH, ACCEPT_INTERVAL_S = (
+    32,
+    0.01,
+)  # callers taken in within so many seconds at most: a silent one has 15 ms at least
+RESERVED_DESCRIPTORS = (
+    MAX_CONNECTIONS + 8
+)  # descriptors set apart: the callers, the listening socket, one being accepted
 BACKLOG = 512
-WITHIN = 6.0  # seconds in which a call must be whole
+REQUEST_TIMEOUT_S = 6.0  # seconds in which a call must be whole
 READ_ON = 0.5  # seconds in which what follows the answered head is read and forgotten
-HEAD_MAX, BODY_MAX = 8192, 65536  # bytes
+HEAD_MAX_BYTES, BODY_MAX = 8192, 65536  # bytes
 PIECE = 4096
 NO_DESCRIPTORS = 0.02  # seconds to wait when a caller can't be accepted
 _SINK = memoryview(bytearray(PIECE))  # what nobody wants to read; what is wanted has a buffer of its own
@@ -51,16 +57,16 @@
         self.whole = True
 
 
-class Caller:
+class RequestReader:
     """One call, fed with bytes until there is an answer."""
 
-    def __init__(self, node: Managed) -> None:
+    def __init__(self, node: ManagedBalancer) -> None:
         self._node = node
         self._head = _Head()
         self._parser = httptools.HttpRequestParser(self._head)
         self._read = 0
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> Response | None:
         """The answer, once the head is whole or can't be one."""
         self._read += len(data)
         try:
@@ -69,16 +75,16 @@
             pass  # answered as any other call; the caller may not change the protocol
         except httptools.HttpParserError as error:
             if not self._head.whole:
-                return Answer(400, f"not a call: {error}\n")
+                return Response(400, f"not a call: {error}\n")
         if self._head.whole:
-            return answer(self._node, *self._line())
-        return Answer(431, "the call's head is too long\n") if self._read > HEAD_MAX else None
+            return handle_request(self._node, *self._line())
+        return Response(431, "the call's head is too long\n") if self._read > HEAD_MAX_BYTES else None
 
     def _line(self) -> tuple[str, str]:
         return self._parser.get_method().decode("latin-1"), self._head.target.decode("latin-1")
 
 
-def write(told: Answer) -> bytes:
+def write(told: Response) -> bytes:
     """The answer on the wire."""
     body = told.text.encode()
     allow = f"Allow: {told.allow}\r\n" if told.allow else ""
@@ -104,10 +110,10 @@
     return sock
 
 
-class Management:
+class ManagementServer:
     """The calls of one balancer."""
 
-    def __init__(self, node: Managed, address: Address) -> None:
+    def __init__(self, node: ManagedBalancer, address: Address) -> None:
         self._node = node
         self._sock = bound(address)
         self._callers: dict[asyncio.Task[None], None] = {}  # the longest silent first
@@ -138,14 +144,14 @@
 
     def _pause(self, now: float) -> float:
         """Another was taken in; for how long nobody else is."""
-        if now - self._since >= PAUSE:
+        if now - self._since >= ACCEPT_INTERVAL_S:
             self._since, self._taken = now, 0
         self._taken += 1
-        return self._since + PAUSE - now if self._taken >= AT_ONCE else 0.0
+        return self._since + ACCEPT_INTERVAL_S - now if self._taken >= ACCEPT_BATCH else 0.0
 
     def _take_in(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        caller = Caller(self._node)
+        caller = RequestReader(self._node)
         told = None
         try:  # most calls are here whole; they cost no wait
             if not (data := sock.recv(PIECE)):
@@ -156,7 +162,7 @@
             pass
         except OSError:
             return sock.close()
-        while len(self._callers) >= CALLERS:
+        while len(self._callers) >= MAX_CONNECTIONS:
             oldest = next(iter(self._callers))
             del self._callers[oldest]
             oldest.cancel()
@@ -164,13 +170,13 @@
         self._callers[task] = None
         task.add_done_callback(lambda task: self._callers.pop(task, None))
 
-    async def _attend(self, sock: socket.socket, caller: Caller, waits: bool) -> None:
+    async def _attend(self, sock: socket.socket, caller: RequestReader, waits: bool) -> None:
         """Wait for the rest of a call, answer it, end the connection in order."""
         loop = asyncio.get_running_loop()
         piece = memoryview(bytearray(PIECE)) if waits else _SINK
         try:
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(WITHIN):
+                async with asyncio.timeout(REQUEST_TIMEOUT_S):
                     while waits:
                         count = await loop.sock_recv_into(sock, piece)
                         if not count:
@@ -186,7 +192,7 @@
         finally:
             sock.close()
 
-    def _say(self, sock: socket.socket, told: Answer) -> None:
+    def _say(self, sock: socket.socket, told: Response) -> None:
         """An answer is far smaller than a socket's buffer: what does not fit has no reader."""
         with contextlib.suppress(OSError):
             sock.send(write(told))
--- a/switchhub/net/counters.py
+++ b/switchhub/net/counters.py
@@ -19,7 +19,7 @@
         """Count it."""
         self._counts[name] += much
 
-    def answer(self, class_name: str, ended: str) -> None:
+    def count_answer(self, class_name: str, ended: str) -> None:
         """A request of this class has got its final answer, or its connection: counted here and nowhere
         else, once for each request."""
         self._counts[f"answers.{ended}"] += 1
@@ -29,6 +29,6 @@
         """The count so far."""
         return self._counts[name]
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """All counts in one line, sorted by name."""
         return " ".join(f"{name}={count}" for name, count in sorted(self._counts.items()))
--- a/switchhub/net/discovery.py
+++ b/switchhub/net/discovery.py
@@ -102,7 +102,7 @@
         """Whether something new may be sent there."""
         return server in self._ready
 
-    def whole(self) -> tuple[Address, dict[str, Any]]:
+    def snapshot(self) -> tuple[Address, dict[str, Any]]:
         """Where it watches, and the list as it stands, in discovery's own form."""
         zones = {index: name for name, index in self._config.zones.items()}
         kinds = {index: name for name, index in self._config.kinds.items()}
@@ -126,7 +126,7 @@
         """Of the list as it stands; 0: of none."""
         return self._version or 0
 
-    def inherit(self, address: Address, listing: Listing) -> bool:
+    def load_predecessor_listing(self, address: Address, listing: Listing) -> bool:
         """Begin with the list of a former process, if that watched the same discovery."""
         if address != self._at:
             return False
--- a/switchhub/net/health.py
+++ b/switchhub/net/health.py
@@ -84,18 +84,18 @@
         self.told, self.delay = -NEVER, 0.0
 
 
-class Health:
+class ServerHealth:
     """The measurements of one balancer. Times are milliseconds."""
 
     def __init__(self) -> None:
         self._seen: dict[str, _Seen] = {}
 
-    def answered(self, server: str, now: float) -> None:
+    def record_answer(self, server: str, now: float) -> None:
         """The server has answered something; loads that it tells are no answers."""
         seen = self._get(server, now)
         seen.answered, seen.silent = now, False
 
-    def silent(self, server: str, waiting: int, longest: float, now: float) -> bool:
+    def is_silent(self, server: str, waiting: int, longest: float, now: float) -> bool:
         """Whether a server says nothing: so many lines wait for it, one of them for so long."""
         seen = self._get(server, now - longest)
         if not seen.silent:
--- a/switchhub/net/lines.py
+++ b/switchhub/net/line_socket.py
@@ -17,7 +17,9 @@
 from typing import NamedTuple, Protocol
 
 LINE_MAX = 4096
-FOR_FILES = 32  # descriptors that are no connections: the log, the event loop, discovery, the listener
+RESERVED_DESCRIPTORS = (
+    32  # descriptors that are no connections: the log, the event loop, discovery, the listener
+)
 FOR_SERVERS = 0.9  # part of the sockets that requests and their servers may hold
 FOR_LOOSE = (
     0.125  # part of the sockets over which those no request needs are given up, the longest silent first
@@ -36,37 +38,37 @@
     """A line that can't be taken: too long, or not of the form it should have."""
 
 
-class Sockets:
+class SocketBudget:
     """Counts the sockets that are open, and keeps what is allowed for requests.
 
     Loose sockets are those that no request needs: clients that have said nothing yet, and connections that
     have ended but for the other side's end. Each waits in a time-out; giving it up brings that forward."""
 
     def __init__(self, allowed: int) -> None:
-        self._total = self._allowed = allowed - FOR_FILES
+        self._total = self._allowed = allowed - RESERVED_DESCRIPTORS
         self.open = 0
-        self._silent: dict[Wire, tuple[float, asyncio.Timeout]] = {}  # the longest silent first
-        self._ending: dict[Wire, tuple[float, asyncio.Timeout]] = {}
+        self._silent: dict[LineSocket, tuple[float, asyncio.Timeout]] = {}  # the longest silent first
+        self._ending: dict[LineSocket, tuple[float, asyncio.Timeout]] = {}
 
     @property
     def loose(self) -> int:
         """How many sockets no request needs."""
         return len(self._silent) + len(self._ending)
 
-    def to_server(self) -> Wire:
+    def to_server(self) -> LineSocket:
         """A new socket for a server; `OSError` where only those for clients are left."""
         self.relieve()
         if self.open - self.loose >= self._allowed * FOR_SERVERS or self.out:
             raise OSError(errno.EMFILE, "sockets are kept for clients")
-        return Wire(socket.socket(socket.AF_INET, socket.SOCK_STREAM), self)
+        return LineSocket(socket.socket(socket.AF_INET, socket.SOCK_STREAM), self)
 
-    def of_client(self, sock: socket.socket) -> Wire:
+    def of_client(self, sock: socket.socket) -> LineSocket:
         """An accepted socket."""
-        return Wire(sock, self)
+        return LineSocket(sock, self)
 
-    def passed_on(self, sock: socket.socket, unread: bytes) -> Wire:
+    def from_predecessor(self, sock: socket.socket, unread: bytes) -> LineSocket:
         """A socket of a former process, and what was read there and not taken."""
-        wire = Wire(sock, self)
+        wire = LineSocket(sock, self)
         wire.put_back(unread)
         return wire
 
@@ -74,11 +76,11 @@
         """So many sockets are another process's: the limit is one for both."""
         self._allowed = self._total - elsewhere
 
-    def loosen(self, wire: Wire, wait: asyncio.Timeout, ending: bool) -> None:
+    def loosen(self, wire: LineSocket, wait: asyncio.Timeout, ending: bool) -> None:
         """No request needs this one; it waits for its other side in this time-out."""
         (self._ending if ending else self._silent)[wire] = asyncio.get_running_loop().time(), wait
 
-    def settle(self, wire: Wire) -> None:
+    def settle(self, wire: LineSocket) -> None:
         """It waits no more."""
         self._silent.pop(wire, None)
         self._ending.pop(wire, None)
@@ -97,7 +99,7 @@
                 given_up += 1
         return given_up
 
-    def _too_many(self, now: float, left: int) -> Wire | None:
+    def _too_many(self, now: float, left: int) -> LineSocket | None:
         """Which to give up next: the longest silent, then the longest ending."""
         out = left > self._allowed - SPARE
         if not out and self.loose <= self._allowed * FOR_LOOSE:
@@ -113,7 +115,7 @@
     @property
     def out(self) -> bool:
         """Whether another client can't be taken in."""
-        return self.open >= self._allowed + FOR_FILES // 2
+        return self.open >= self._allowed + RESERVED_DESCRIPTORS // 2
 
 
 class Waiting(Protocol):
@@ -134,12 +136,12 @@
     return reader.waits
 
 
-class Wire:
+class LineSocket:
     """A non-blocking socket that speaks lines."""
 
     __slots__ = ("_buffer", "_end", "_sockets", "_start", "_view", "closed", "sock", "waits")
 
-    def __init__(self, sock: socket.socket, sockets: Sockets) -> None:
+    def __init__(self, sock: socket.socket, sockets: SocketBudget) -> None:
         sock.setblocking(False)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -169,7 +171,7 @@
         self._end += count
         return count
 
-    def fill_now(self) -> int:
+    def read_available(self) -> int:
         """What has come already, without waiting; 0 if nothing has, or the end, which `fill` tells apart."""
         try:
             count = self.sock.recv_into(self._view[self._end :]) if self._end < LINE_MAX else 0
@@ -189,7 +191,7 @@
 
     def spoke(self) -> bool:
         """Whether something lies unread, here or in the kernel; an end does not count."""
-        return bool(len(self.rest()) or self.fill_now())
+        return bool(len(self.rest()) or self.read_available())
 
     def connected(self) -> bool:
         """Whether the other side has accepted, as the kernel knows it."""
@@ -199,7 +201,7 @@
             return False
         return True
 
-    def ages(self) -> tuple[float, float]:
+    def receive_timing(self) -> tuple[float, float]:
         """Milliseconds since its last byte came, in the kernel's steps, and that it was under way before that
         at most; 0 where the kernel does not tell. To be asked with the first line.
 
--- a/switchhub/net/listener.py
+++ b/switchhub/net/listener.py
@@ -20,22 +20,22 @@
 
 from loguru import logger
 
-from switchhub.admission.gate import Gate
+from switchhub.admission.controller import AdmissionController
 from switchhub.decision.facade import Facade, Send
-from switchhub.lifecycle.pace import Pace
+from switchhub.lifecycle.move_pacer import MovePacer
 from switchhub.lifecycle.phase import Lifecycle, Phase
 from switchhub.net.config import Address, Config, ConfigError, read_config
 from switchhub.net.counters import Counters
 from switchhub.net.discovery import Discovery
-from switchhub.net.health import Health
-from switchhub.net.lines import LineError, Sockets, Wire, parked, parse_head
-from switchhub.net.session import EARLY, FINISH_WITHIN, Session, final_answer, read_request
+from switchhub.net.health import ServerHealth
+from switchhub.net.line_socket import LineError, LineSocket, SocketBudget, parked, parse_head
+from switchhub.net.session import ANSWER_MARGIN_MS, FINISH_WITHIN, Session, final_answer, read_request
 
 if TYPE_CHECKING:
     from switchhub.handover.link import ProcessLink
     from switchhub.handover.receiver import HandoverReceiver
     from switchhub.handover.sender import HandoverSender
-    from switchhub.management.server import Management
+    from switchhub.management.server import ManagementServer
 
 BACKLOG = 4096
 AT_ONCE, AT_NEED = 64, 256  # connections taken in before those that stand have their turn; while it is behind
@@ -45,29 +45,35 @@
 NO_DESCRIPTORS = 0.02  # seconds to wait when a connection can't be accepted
 CHOKED = 0.1  # seconds that one such failure counts
 LINGER = 0.45  # seconds after a stop's start in which new connections still come: the moved would come back
-STOP_MAX, STOP_SPARE = 3.0, 0.3  # seconds: the longest deadline that a stop is given, and a bit more
-MOVE_FROM, MOVE_TO = 0.5, 0.92  # parts of the time given between which everybody is moved, evenly
+STOP_DEADLINE_MAX_S, STOP_MARGIN_S = (
+    3.0,
+    0.3,
+)  # seconds: the longest deadline that a stop is given, and a bit more
+STOP_MOVE_BEGIN_FRACTION, STOP_MOVE_END_FRACTION = (
+    0.5,
+    0.92,
+)  # parts of the time given between which everybody is moved, evenly
 IDS_KEPT = 2048  # ids of ended connections that are remembered
 FIXED = ("name", "listen", "management", "sockets", "settings")  # what a reload leaves as it was at the start
 DRAIN_FROM, DRAIN_TO, DRAIN_MAX = 0.1, 3.5, 3.7  # seconds from a drain's call: moves begin, end, are forced
 LAST_ANSWERS = 0.1  # seconds in which what is still open is answered at the very end
 
 
-class Ids:
+class ConnectionIds:
     """The ids of connections that are open or were lately: each is good for one."""
 
     def __init__(self) -> None:
         self._open: set[str] = set()
         self._ended: dict[str, None] = {}  # the oldest first
 
-    def take(self, name: str) -> bool:
+    def reserve(self, name: str) -> bool:
         """Whether it is free; from now on it is not."""
         if name in self._open or name in self._ended:
             return False
         self._open.add(name)
         return True
 
-    def end(self, name: str) -> None:
+    def release(self, name: str) -> None:
         """Its connection has ended; it is remembered for a while."""
         self._open.discard(name)
         self._ended[name] = None
@@ -85,11 +91,11 @@
         self._zero = time.time() * 1000 - time.monotonic() * 1000
         self.facade = Facade(config.settings, config.seed, self.clock())
         self.discovery = Discovery(config, self.facade, self.counters, self.clock)
-        self.health = Health()
+        self.health = ServerHealth()
         self.lifecycle = Lifecycle()
-        self._pace: Pace | None = None  # of those that are given away now
+        self._pace: MovePacer | None = None  # of those that are given away now
         self._forced = math.inf  # when nobody is waited for any more
-        self._management: Management | None = None
+        self._management: ManagementServer | None = None
         self._handover_receiver = handover_receiver
         self._handover_sender: HandoverSender | None = None
         self.pages: dict[str, Callable[[str, str], tuple[int, str]]] = {}  # further ones, for staff
@@ -99,14 +105,14 @@
             from switchhub.handover import sender
             from switchhub.management import server
 
-            room = server.ROOM + sender.RESERVED_DESCRIPTORS
-            self._management = server.Management(self, config.management)
+            room = server.RESERVED_DESCRIPTORS + sender.RESERVED_DESCRIPTORS
+            self._management = server.ManagementServer(self, config.management)
             path = sender.socket_path(os.environ.get("TMPDIR", ""), config.name)
             self._handover_sender = sender.HandoverSender(self, path) if path else None
-        self.sockets = Sockets(config.sockets - room)
+        self.sockets = SocketBudget(config.sockets - room)
         self.sessions: dict[str, Session] = {}
-        self.ids = Ids()
-        self.gate = Gate()
+        self.ids = ConnectionIds()
+        self.gate = AdmissionController()
         self._turns: deque[asyncio.Future[bool]] = deque()  # requests that wait for their turn, in order
         self._latest: list[tuple[float, int, asyncio.Future[bool]]] = []  # the same, by when they must start
         self._count = 0
@@ -151,29 +157,29 @@
         self.lifecycle.stop()
         self._stopping.set()
 
-    # What the operators' staff ask (`management.calls`).
+    # What the operators' staff ask (`management.endpoints`).
 
     def healthy(self) -> bool:
         """Whether this process is ready to serve."""
         return self.lifecycle.healthy
 
-    def condition(self) -> str:
+    def phase_name(self) -> str:
         """What it is, in a word or two."""
         return self.lifecycle.phase.value
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The figures, in the operators' form."""
-        from switchhub.management.figures import write  # imported with the calls
+        from switchhub.management.metrics import format_metrics  # imported with the calls
 
         counters, targets = self.counters, self.facade.server_counts(self.clock())
         dispatches = counters.get("dispatches")
-        return write(self.config.classes, counters.answers, dispatches, len(self.sessions), *targets)
+        return format_metrics(self.config.classes, counters.answers, dispatches, len(self.sessions), *targets)
 
     def drain(self) -> None:
         """Turn new clients away and move those that stand; a second call changes nothing."""
         if self.lifecycle.drain():
             now = self.loop.time()
-            self._pace, self._forced = Pace(now + DRAIN_FROM, now + DRAIN_TO), now + DRAIN_MAX
+            self._pace, self._forced = MovePacer(now + DRAIN_FROM, now + DRAIN_TO), now + DRAIN_MAX
             self.counters.add("drains")
             self.facade.drain_started(self.clock())
             logger.info("draining with {} sessions", len(self.sessions))
@@ -241,7 +247,7 @@
             for task in (*loops, *others, stopping):
                 task.cancel()
             await asyncio.wait((*loops, *others, stopping))
-            logger.info("counters {}", self.counters.line())
+            logger.info("counters {}", self.counters.summary())
 
     async def _take_in_all(self) -> None:
         """Accept, but while a new process does."""
@@ -263,15 +269,15 @@
 
     # The pairs with other processes of this balancer (`handover.link`).
 
-    def join(self, link: ProcessLink) -> None:
+    def add_link(self, link: ProcessLink) -> None:
         """Another process of this balancer, that is older or newer."""
         self.links.append(link)
 
-    def part(self, link: ProcessLink) -> None:
+    def remove_link(self, link: ProcessLink) -> None:
         """It has gone."""
         if link in self.links:
             self.links.remove(link)
-            self.settle()
+            self.apply_handover_state()
 
     @property
     def accepts(self) -> bool:
@@ -279,23 +285,23 @@
         return all(each.accepts for each in self.links)
 
     @property
-    def full(self) -> bool:
+    def out_of_descriptors(self) -> bool:
         """Whether nobody can be accepted here, for want of descriptors."""
         return self.sockets.out or time.monotonic() - self._choked < CHOKED
 
     @property
-    def holds(self) -> bool:
+    def holds_accept_right(self) -> bool:
         """Whether it is this process's, and not only until another has said that it accepts."""
         return all(each.holds_right for each in self.links)
 
-    def settle(self) -> None:
+    def apply_handover_state(self) -> None:
         """What this process is and whether it accepts, as the pairs have it: here and nowhere else."""
         yielded = any(each.yielded for each in self.links)
         if yielded and self.lifecycle.phase in (Phase.READY, Phase.DRAINING):
-            self.lifecycle.yield_to()
-        elif not yielded and self.lifecycle.phase is Phase.GIVING_WAY:
-            self.lifecycle.take_back()
-            logger.warning("no new process serves, {} again", self.condition())
+            self.lifecycle.supersede()
+        elif not yielded and self.lifecycle.phase is Phase.SUPERSEDED:
+            self.lifecycle.reinstate()
+            logger.warning("no new process serves, {} again", self.phase_name())
         if self._closed or self.accepts is self._accepting.is_set():
             return
         if self.accepts:
@@ -304,11 +310,11 @@
             self._accepting.clear()
             self._start(self.pause_accept())
 
-    def share_sockets(self) -> None:
+    def update_socket_budget(self) -> None:
         """The limit on descriptors is one for all processes of a balancer."""
         self.sockets.share(2 * sum(each.remote_connections for each in self.links))
 
-    def queue(self) -> int:
+    def accept_queue_id(self) -> int:
         """Which accept queue this process has: the same number in each process that shares it."""
         return os.fstat(self.sock.fileno()).st_ino
 
@@ -368,34 +374,34 @@
         if not self._refused_at_once(wire):
             self._start(Session(self, wire).run())
 
-    def _refused_at_once(self, wire: Wire) -> bool:
+    def _refused_at_once(self, wire: LineSocket) -> bool:
         """Refuse, without a session, a request that is here whole and can't be in time.
 
         Danger: a session costs several times a refusal, and makes those late that could be served. Whatever
         else is the matter with a request, its session finds."""
-        if not wire.fill_now() or (line := wire.line()) is None or len(line) != len(wire.rest()):
+        if not wire.read_available() or (line := wire.line()) is None or len(line) != len(wire.rest()):
             return False
         now = self.clock()
-        age, trip = wire.ages()
-        if self.gate.prompt(now, age):
+        age, trip = wire.receive_timing()
+        if self.gate.can_start_now(now, age):
             return False
         try:
             head = parse_head(line)
             request = read_request(head, self.config)
         except LineError:
             return False
-        wait = request.budget + EARLY - trip
-        if "at" in head.values or not self.gate.hopeless(age, wait) or not self.ids.take(request.id):
+        wait = request.budget + ANSWER_MARGIN_MS - trip
+        if "at" in head.values or not self.gate.would_be_late(age, wait) or not self.ids.reserve(request.id):
             return False
         self.counters.add("requests.taken")
         self.counters.add("requests.late")
         pick = self.facade.pick(now, request._replace(late=True))
         assert not isinstance(pick, Send)
         name, answer = final_answer(pick)
-        self.counters.answer(head.values["c"], name)
+        self.counters.count_answer(head.values["c"], name)
         if not wire.say(answer):
             self.counters.add("answers.undelivered")
-        self.ids.end(request.id)
+        self.ids.release(request.id)
         wire.close()
         return True
 
@@ -422,14 +428,14 @@
                 turn = heapq.heappop(self._latest)[2]
                 if not turn.done():
                     turn.set_result(False)
-            left = self.gate.turn(now)
+            left = self.gate.next_batch(now)
             while self._turns and (left or self._turns[0].done()):
                 turn = self._turns.popleft()
                 if not turn.done():
                     turn.set_result(True)
                     left -= 1
         self._latest.clear()
-        self.gate.rest()
+        self.gate.queue_emptied()
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -442,7 +448,7 @@
             self.counters.add("errors")
             logger.opt(exception=task.exception()).error("a session broke")
 
-    def go_on(self, session: Session) -> None:
+    def resume_session(self, session: Session) -> None:
         """Serve a connection that a former process has passed on."""
         self.sessions[session.id] = session
         self.counters.add("sessions.taken_over")
@@ -462,11 +468,11 @@
                 self._take_in(self.sock.accept()[0])
         self.sock.close()
 
-    def listening_copy(self) -> socket.socket:
+    def duplicate_listening_socket(self) -> socket.socket:
         """The clients' address, for a new process."""
         return self.sock.dup()
 
-    def give_back(self, wire: Wire, reset: bool) -> None:
+    def give_back(self, wire: LineSocket, reset: bool) -> None:
         """End a socket: at once with a reset, or in order."""
         if reset:
             wire.close(reset=True)
@@ -493,14 +499,14 @@
         for session in self.sessions.values():
             waits = session.waits(now)
             if waits:
-                waiting.setdefault(session.place, []).append(waits)
+                waiting.setdefault(session.current_server, []).append(waits)
         silent = {
             server
             for server, waits in waiting.items()
-            if self.health.silent(server, len(waits), max(waits), now)
+            if self.health.is_silent(server, len(waits), max(waits), now)
         }
         for session in list(self.sessions.values()):
-            session.check(now, session.place in silent)
+            session.check(now, session.current_server in silent)
 
     def _chores(self) -> None:
         chores = self.facade.tick(self.clock())
@@ -521,7 +527,7 @@
         if self._pace is None:
             return
         now = self.loop.time()
-        standing = [session for session in self.sessions.values() if session.up]
+        standing = [session for session in self.sessions.values() if session.established]
         for session in standing[: self._pace.due(now, len(standing))]:
             session.move(at_once=now >= self._forced)
 
@@ -529,15 +535,17 @@
         """Go on answering while connections still come, move everybody, wait for what is owed."""
         logger.info("stopping with {} sessions", len(self.sessions))
         longest = max((each.deadline for each in self.config.settings.classes), default=0.0) / 1000
-        given_time = min(longest, STOP_MAX) + STOP_SPARE
+        given_time = min(longest, STOP_DEADLINE_MAX_S) + STOP_MARGIN_S
         starts = self.loop.time()
         ends = starts + given_time
-        linger = max(LINGER, given_time * MOVE_FROM)  # the later, the more of the others are back
+        linger = max(
+            LINGER, given_time * STOP_MOVE_BEGIN_FRACTION
+        )  # the later, the more of the others are back
         # Danger: alone at its address it accepts as long as it has somebody; who finds it closed is lost.
         lingers = starts + LINGER if self._handover_sender is None else math.inf
         handover_sender, sent, given, asked = self._handover_sender, True, False, time.monotonic()
         if self._pace is None:  # one that drains goes on as it does
-            self._pace = Pace(starts + linger, starts + given_time * MOVE_TO)
+            self._pace = MovePacer(starts + linger, starts + given_time * STOP_MOVE_END_FRACTION)
         while (now := self.loop.time()) < ends and (
             self.sessions or self._tasks or not sent or not (given or self._closed or now >= lingers)
         ):
--- a/switchhub/net/session.py
+++ b/switchhub/net/session.py
@@ -18,18 +18,20 @@
 
 from loguru import logger
 
-from switchhub.admission.gate import Verdict
+from switchhub.admission.controller import AdmissionDecision
 from switchhub.decision.facade import Adopted, Delay, Ended, Left, Load, Pick, Refused, Send, Up
 from switchhub.decision.interface import Request, Result
 from switchhub.net.config import Config
 from switchhub.net.health import LoadLines
-from switchhub.net.lines import Head, LineError, Wire, parked, parse_head
+from switchhub.net.line_socket import Head, LineError, LineSocket, parked, parse_head
 
 if TYPE_CHECKING:
     from switchhub.handover.messages import HeldConnection, PassedConnection
     from switchhub.net.listener import Listener
 
-EARLY = 25.0  # milliseconds before the client's deadline at which its answer is ready at the latest
+ANSWER_MARGIN_MS = (
+    25.0  # milliseconds before the client's deadline at which its answer is ready at the latest
+)
 LAST = (
     10.0  # milliseconds before it from which `UP` would come too late: the kernel counts ages in steps of 4
 )
@@ -38,8 +40,8 @@
 FINISH_WITHIN = 1.0  # seconds that an ended connection's other side has to end too
 # Milliseconds without an answer to a line after which a connection counts as silent. Danger: it has 7 s from
 # its last answer, and the next line, the first to miss one, comes up to 2 s after that; 1 s is to spare.
-SILENT_AFTER = 7000.0 - 2000.0 - 1000.0
-SILENT_TOO = 250.0  # the same, while its server is silent to all
+SILENCE_TIMEOUT_MS = 7000.0 - 2000.0 - 1000.0
+SILENT_SERVER_TIMEOUT_MS = 250.0  # the same, while its server is silent to all
 VANISHED_AFTER = 60_000.0  # milliseconds without a line after which a client counts as vanished
 ADOPT_WITHIN, ADOPT_RETRY = 38.0, 0.5  # seconds for a connection of before the start to stand again
 WAIT_MAX, HINT_MAX = 1e7, 1e12  # a `d` or an `h` that no client can mean
@@ -87,7 +89,7 @@
         again, _ = _FLAGS[values.get("again", "0")], _FLAGS[values.get("r", "0")]
     except (KeyError, ValueError) as error:
         raise LineError(f"{type(error).__name__}: {error}") from None
-    return Request(head.id, index, wait - EARLY, tenant, hint, head.key, values.get("g"), again)
+    return Request(head.id, index, wait - ANSWER_MARGIN_MS, tenant, hint, head.key, values.get("g"), again)
 
 
 def final_answer(pick: Pick) -> tuple[str, bytes]:
@@ -104,17 +106,17 @@
 class Session:
     """One client."""
 
-    def __init__(self, listener: Listener, client: Wire) -> None:
+    def __init__(self, listener: Listener, client: LineSocket) -> None:
         self._node = listener
         self._counters = listener.counters
         self._clock: Callable[[], float] = listener.clock
         self.client = client
-        self.server: Wire | None = None
+        self.server: LineSocket | None = None
         self.id = self._class = ""
         self._tenant = ""
         self.request: Request | None = None
-        self.place = ""  # the server of the present attempt
-        self.up = False
+        self.current_server = ""  # the server of the present attempt
+        self.established = False
         self.up_at = 0.0
         self._heard = self._clock()  # when the client last sent something
         self._arrived = self._deadline = 0.0  # when its first line's last byte came, when it gives up
@@ -135,14 +137,14 @@
             line = await self._first_line()
             if line is None:
                 return
-            age, trip = self.client.ages()
+            age, trip = self.client.receive_timing()
             self._arrived = self._clock() - age
             head = parse_head(line)
             request = read_request(head, self._node.config)
-            self._deadline = self._arrived + request.budget + EARLY - trip
+            self._deadline = self._arrived + request.budget + ANSWER_MARGIN_MS - trip
             if len(self.client.rest()) > len(line):
                 raise LineError("a client waits for its answer")
-            if not self._node.ids.take(request.id):
+            if not self._node.ids.reserve(request.id):
                 raise LineError("this id is taken")
             self.client.take(len(line))
             self.id, self._class, self._tenant = request.id, head.values["c"], head.values.get("t", "")
@@ -156,7 +158,7 @@
             self._reader = asyncio.create_task(self._from_client())
             setting_up = self._adopt if "at" in head.values else self._set_up
             if await setting_up(head, request):
-                self._counters.answer(self._class, "served")
+                self._counters.count_answer(self._class, "served")
                 reset = await self._relay()
         except LineError as error:
             logger.debug("malformed: {}: {}", error, self.client.rest()[:SHOWN].tobytes())
@@ -184,7 +186,7 @@
             self._reader.cancel()
         if self.id:
             del self._node.sessions[self.id]
-            self._node.ids.end(self.id)
+            self._node.ids.release(self.id)
         if self.server is not None:
             self._node.give_back(self.server, reset)
             self.server = None
@@ -192,32 +194,45 @@
 
     # From one process of this balancer to the next.
 
-    def held(self) -> HeldConnection | None:
+    def handover_record(self) -> HeldConnection | None:
         """What a new process counts of it; nothing before a server is chosen."""
         from switchhub.handover.messages import HeldConnection
 
         request = self.request
-        if request is None or not self.place:
+        if request is None or not self.current_server:
             return None
         load = self._loads.load or 0.0
         return HeldConnection(
-            self.id, self._class, self._tenant, request.key, request.group, request.hint, self.place, load
+            self.id,
+            self._class,
+            self._tenant,
+            request.key,
+            request.group,
+            request.hint,
+            self.current_server,
+            load,
         )
 
-    async def pass_on(self, send: Callable[[PassedConnection, socket.socket, socket.socket], bool]) -> None:
+    async def hand_over(self, send: Callable[[PassedConnection, socket.socket, socket.socket], bool]) -> None:
         """Stop reading and send both sides to the new process. What is being written to a side that does not
         take it can't be parted with: its client is moved."""
         from switchhub.handover.messages import PassedConnection
 
-        if not self.up or self._parting or self._done.done() or self._reader is None or self._down is None:
+        if (
+            not self.established
+            or self._parting
+            or self._done.done()
+            or self._reader is None
+            or self._down is None
+        ):
             return
         self._parting = True
-        client, server = self.client, cast(Wire, self.server)
+        client, server = self.client, cast(LineSocket, self.server)
         for wire, task in ((client, self._reader), (server, self._down)):
             if await parked(wire):
                 task.cancel()
         await asyncio.wait((self._reader, self._down), timeout=PART_WITHIN)
-        held = self.held()
+        held = self.handover_record()
         if self._done.done() or held is None:
             return
         if not (self._reader.done() and self._down.done()):
@@ -239,14 +254,19 @@
         self._finish(End.PASSED_ON)
 
     @classmethod
-    def passed(
-        cls, listener: Listener, passed: PassedConnection, client: Wire, server: Wire, request: Request
+    def from_predecessor(
+        cls,
+        listener: Listener,
+        passed: PassedConnection,
+        client: LineSocket,
+        server: LineSocket,
+        request: Request,
     ) -> Session:
         """A connection that a former process of this balancer held."""
         session = cls(listener, client)
         session.server, session.request = server, request
         held = passed.held
-        session.id, session._class, session._tenant, session.place = (
+        session.id, session._class, session._tenant, session.current_server = (
             held.id,
             held.class_name,
             held.tenant,
@@ -279,7 +299,7 @@
         except TimeoutError:
             # Danger: where this process is late, who is given up as silent has spoken, unread; a request
             # counts as taken from its last byte on.
-            self.client.fill_now()
+            self.client.read_available()
             line = self.client.line()
             if line is None or line.tobytes() == PING:
                 raise
@@ -313,19 +333,19 @@
         """Wait for its turn, if this process is behind; the request with what is left of its time."""
         gate, now = self._node.gate, self._clock()
         wait = self._deadline - self._arrived
-        verdict = gate.verdict(now, now - self._arrived, wait)
-        if verdict is Verdict.WAIT:
-            if not await self._node.turn(gate.latest(self._arrived, wait)):
-                verdict = Verdict.REFUSE
+        verdict = gate.decide(now, now - self._arrived, wait)
+        if verdict is AdmissionDecision.WAIT:
+            if not await self._node.turn(gate.latest_start(self._arrived, wait)):
+                verdict = AdmissionDecision.REFUSE
             if self.client.gone():
                 raise ConnectionResetError("the client has left while it waited for its turn")
             if self.client.spoke():  # also one that spoke and left
                 raise LineError("a client waits for its answer")
             now = self._clock()
-        late = verdict is Verdict.REFUSE
+        late = verdict is AdmissionDecision.REFUSE
         if late:
             self._counters.add("requests.late")
-        return request._replace(budget=self._deadline - EARLY - now, late=late)
+        return request._replace(budget=self._deadline - ANSWER_MARGIN_MS - now, late=late)
 
     async def _set_up(self, head: Head, request: Request) -> bool:
         """Try as the module says until the connection stands or the request is answered."""
@@ -350,8 +370,8 @@
             logger.debug("{} at {}: {} in {:.0f} ms", self.id, pick.server, result.value, elapsed)
             self._counters.add(f"attempts.{result.value}")
             if result is Result.OK and now <= self._deadline - LAST:
-                self._node.gate.answered(now - begun)
-                health.answered(pick.server, now)
+                self._node.gate.record_setup(now - begun)
+                health.record_answer(pick.server, now)
                 facade.report(now, Up(request.id, elapsed))
                 return True
             if result is Result.OK:  # its client has given up: it gets no server
@@ -383,7 +403,7 @@
         return False
 
     def _answer(self, kind: str, line: bytes) -> bool:
-        self._counters.answer(self._class, kind)
+        self._counters.count_answer(self._class, kind)
         if not self.client.say(line):
             self._counters.add("answers.undelivered")
         return False
@@ -402,7 +422,7 @@
             self._counters.add("attempts.no_socket")
             return Result.NOT_SENT
         self._counters.add("attempts")
-        self.place = pick.server
+        self.current_server = pick.server
         try:
             async with asyncio.timeout_at(min(ends, loop.time() + self._node.config.dial_timeout / 1000)):
                 await loop.sock_connect(server.sock, address)
@@ -426,7 +446,7 @@
         self._counters.add("dispatches")
         return await self._verdict(server, ends)
 
-    async def _verdict(self, server: Wire, ends: float) -> Result:
+    async def _verdict(self, server: LineSocket, ends: float) -> Result:
         """What the server says to the first line."""
         try:
             async with asyncio.timeout_at(ends):
@@ -434,7 +454,7 @@
                     if not await server.fill():
                         return Result.RESET
         except TimeoutError:
-            server.fill_now()  # what came in time may lie unread, if this process was late
+            server.read_available()  # what came in time may lie unread, if this process was late
             if (late := server.line()) is None:
                 return Result.TIMEOUT
             self._counters.add("attempts.own_delay")
@@ -461,7 +481,7 @@
         ends = loop.time() + ADOPT_WITHIN
         started = self._clock()
         self._counters.add("requests.adopted")
-        self.place = server
+        self.current_server = server
         self._node.facade.report(started, Adopted(request, server))
         while not self._done.done():
             attempt = asyncio.create_task(self._adopt_once(head, server, ends))
@@ -472,7 +492,7 @@
                 break
             result = attempt.result()
             if result is Result.OK:
-                self._node.health.answered(server, self._clock())
+                self._node.health.record_answer(server, self._clock())
                 return True
             if self.server is not None:
                 self.server.close()
@@ -503,7 +523,7 @@
 
     async def _relay(self) -> bool:
         """Pass lines on until one side ends; whether that was a reset."""
-        self.up, self.up_at = True, self._clock()
+        self.established, self.up_at = True, self._clock()
         self._stands.set_result(None)
         self._down = asyncio.create_task(self._from_server())
         if self._move_asked:
@@ -512,10 +532,10 @@
             end = await self._done
         finally:
             self._down.cancel()
-            self.up = False
+            self.established = False
             self._over(self.up_at, self._result())
         self._counters.add(f"ends.{end.value}")
-        logger.debug("{} at {}: ended by {} ({})", self.id, self.place, end.value, self._last)
+        logger.debug("{} at {}: ended by {} ({})", self.id, self.current_server, end.value, self._last)
         return end in (End.CLIENT_RESET, End.SERVER_RESET)
 
     def _result(self) -> Result:
@@ -557,7 +577,7 @@
                     self._asked.append(self._heard)
                     await self._to_server(lines)
                     client.take(len(lines))
-            if len(client.rest()) and self.up:
+            if len(client.rest()) and self.established:
                 await self._to_server(client.rest())
             self._finish(End.CLIENT)
         except LineError:
@@ -572,7 +592,7 @@
             return
         try:
             self._counters.add("lines.up", data.tobytes().count(b"\n"))
-            logger.trace("{} at {}: client says {}", self.id, self.place, data.tobytes())
+            logger.trace("{} at {}: client says {}", self.id, self.current_server, data.tobytes())
             await self.server.send(data)
         except OSError:  # the reader of that side learns how it ended
             await asyncio.sleep(FINISH_WITHIN)
@@ -624,7 +644,7 @@
             self._counters.add("lines.down")
             self._last = word
             if word != b"M":
-                logger.trace("{} at {}: says {}", self.id, self.place, line)
+                logger.trace("{} at {}: says {}", self.id, self.current_server, line)
             if word == b"LOAD":
                 with contextlib.suppress(ValueError):
                     load = float(rest)
@@ -632,9 +652,9 @@
                         self._read_load(now, load)
             elif word not in (b"UP", b"BYE", b"MOVE") and self._asked:
                 delay = now - self._asked.popleft()
-                self._node.health.answered(self.place, now)
-                logger.trace("{} at {}: {:.1f} ms {}", self.id, self.place, delay, line)
-                if not self._node.health.tells(self.place, now):
+                self._node.health.record_answer(self.current_server, now)
+                logger.trace("{} at {}: {:.1f} ms {}", self.id, self.current_server, delay, line)
+                if not self._node.health.tells(self.current_server, now):
                     self._node.facade.report(now, Delay(self.id, delay))
 
     def _read_load(self, now: float, value: float) -> None:
@@ -644,12 +664,14 @@
         if not config.tells_load:
             delay = config.tells_delay
         else:
-            due = health.begins(self.place, now, value, self._loads.usual) or health.due(self.place, now)
-            most = health.most(self.place, now)
+            due = health.begins(self.current_server, now, value, self._loads.usual) or health.due(
+                self.current_server, now
+            )
+            most = health.most(self.current_server, now)
             delay = config.tells_delay and self._loads.is_delay(value, now, due, most)
         if delay:
             self._counters.add("delays.told")
-            health.told(self.place, now, value)
+            health.told(self.current_server, now, value)
             facade.report(now, Delay(self.id, value))
         elif not config.tells_delay:
             self._loads.load = value
@@ -660,7 +682,7 @@
         """Tell the client to come again, between two lines, and end both sides.
 
         Danger: a client that never reads would hold its connection past any drain; `at_once` waits not."""
-        if not self.up or self._done.done():
+        if not self.established or self._done.done():
             return
         if at_once and self._sending:
             return self._finish(End.MOVED)
@@ -676,13 +698,13 @@
 
     def waits(self, now: float) -> float:
         """For how long a line has waited for its answer; a client that takes nothing is no silent server."""
-        return now - self._asked[0] if self.up and self._asked and not self._sending else 0.0
+        return now - self._asked[0] if self.established and self._asked and not self._sending else 0.0
 
     def check(self, now: float, server_silent: bool) -> None:
         """Called a few times a second: is either side silent?"""
-        if not self.up or self._done.done():
+        if not self.established or self._done.done():
             return
-        if self.waits(now) > (SILENT_TOO if server_silent else SILENT_AFTER):
+        if self.waits(now) > (SILENT_SERVER_TIMEOUT_MS if server_silent else SILENCE_TIMEOUT_MS):
             self.client.say(MOVE)
             self._finish(End.SILENT)
         elif now - self._heard > VANISHED_AFTER:
--- a/switchhub/peers/node.py
+++ b/switchhub/peers/node.py
@@ -115,7 +115,7 @@
         nothing, for its successor is the same member."""
         if phase in (Phase.READY, Phase.DRAINING):
             self._loop.call_soon_threadsafe(self._want, True)
-        elif phase is Phase.GIVING_WAY:
+        elif phase is Phase.SUPERSEDED:
             self._loop.call_soon_threadsafe(self._want, False)
 
     def close(self) -> None:
--- a/tests/rig.py
+++ b/tests/harness.py
@@ -19,7 +19,7 @@
 from switchhub.lab.told import nested
 
 ROOT = Path(__file__).parent.parent
-WITHIN = 10.0  # seconds in which anything awaited must have come
+TIMEOUT_S = 10.0  # seconds in which anything awaited must have come
 IDS = iter(range(1, 1_000_000))
 
 
@@ -50,12 +50,12 @@
     return {**told, **changes}
 
 
-class Server:
+class FakeServer:
     """Answers each first line as `mode` says, and after `UP` each line with itself."""
 
     def __init__(self, name: str, mode: str = "up") -> None:
         self.name, self.mode = name, mode
-        self.opened: list[bytes] = []
+        self.first_lines: list[bytes] = []
         self.streams: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self.echoes = True
         self.address = ""
@@ -81,7 +81,7 @@
             line = await reader.readline()
             if not line:
                 return writer.close()
-            self.opened.append(line)
+            self.first_lines.append(line)
             self.streams.append((reader, writer))
             if self.mode == "reset":
                 return reset(writer)
@@ -91,21 +91,21 @@
             if self.mode != "up":
                 writer.write(self.mode.encode() + b"\r\n")
                 return writer.close()
-            writer.write(b"UP %s-%d\r\n" % (self.name.encode(), len(self.opened)))
+            writer.write(b"UP %s-%d\r\n" % (self.name.encode(), len(self.first_lines)))
             while line := await reader.readline():
                 if self.echoes:
                     writer.write(line)
             writer.close()
 
 
-class Discovery:
+class FakeDiscovery:
     """The list of servers, as whole lists, with watches; `fails` calls are answered with 503."""
 
-    def __init__(self, servers: list[Server]) -> None:
+    def __init__(self, servers: list[FakeServer]) -> None:
         self.states = {server.name: "Ready" for server in servers}
         self.started = {server.name: 0 for server in servers}
         self.version, self.fails, self.calls = 1, 0, 0
-        self.mute = 0  # so many calls get no answer
+        self.unanswered_calls = 0  # so many calls get no answer
         self.address = ""
         self._servers = servers
         self._changed = asyncio.Condition()
@@ -114,7 +114,7 @@
         self.bodies: list[bytes] = []  # what the next calls are answered, as it is; nothing: a reset
         self.keeps = False  # the connection stays open after them
         self.told = 0  # version that was written to somebody last
-        self.asked: list[str] = []  # the calls' queries
+        self.queries: list[str] = []  # the calls' queries
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=4096)
@@ -158,10 +158,10 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.calls += 1
-                self.asked.append(urlsplit(head.split(b" ")[1].decode()).query)
-                query = parse_qs(self.asked[-1])
-                if self.mute:
-                    self.mute -= 1
+                self.queries.append(urlsplit(head.split(b" ")[1].decode()).query)
+                query = parse_qs(self.queries[-1])
+                if self.unanswered_calls:
+                    self.unanswered_calls -= 1
                     continue
                 if self.bodies:
                     body = self.bodies.pop(0)
@@ -193,26 +193,26 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.receipt = b""  # the line that said `UP`
+        self.up_line = b""  # the line that said `UP`
 
     def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def line(self) -> bytes:
-        async with asyncio.timeout(WITHIN):
+    async def read_line(self) -> bytes:
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.reader.readline()
 
-    async def end(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """All that still comes; a reset raises."""
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.reader.read()
 
 
-class Program:
+class BalancerProcess:
     """The real balancer as a process."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int, file: Path) -> None:
-        self.process, self.port, self.file = process, port, file
+        self.process, self.port, self.config_file = process, port, file
         self.log: list[str] = []
         self.killed = False  # by the test, on purpose
         self._reading = asyncio.create_task(self._read())
@@ -232,15 +232,15 @@
         )
         return client
 
-    async def up(self, values: str = "") -> Client:
+    async def connect(self, values: str = "") -> Client:
         client = await self.open(values)
-        client.receipt = await client.line()
-        assert client.receipt.startswith(b"UP ")
+        client.up_line = await client.read_line()
+        assert client.up_line.startswith(b"UP ")
         return client
 
-    async def logged(self, text: str) -> str:
+    async def wait_for_log(self, text: str) -> str:
         """The log's first line with this text, once it is there."""
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 for line in self.log:
                     if text in line:
@@ -249,15 +249,15 @@
 
     async def call(self, what: str) -> tuple[int, str]:
         """A call of the staff: its status and text."""
-        port = int((await self.logged("management on")).rsplit(":", 1)[1])
+        port = int((await self.wait_for_log("management on")).rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{what} HTTP/1.1\r\n\r\n".encode())
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             head, _, text = (await reader.read()).decode().partition("\r\n\r\n")
         writer.close()
         return int(head.split()[1]), text
 
-    async def figures(self) -> dict[str, int]:
+    async def metrics(self) -> dict[str, int]:
         """The figures of now."""
         status, text = await self.call("GET /stats")
         assert status == 200
@@ -266,16 +266,16 @@
 
     async def reload(self, text: str) -> None:
         """Put this in the configuration's place and tell the program; back once it has read it."""
-        self.file.write_text(text)
+        self.config_file.write_text(text)
         before = sum("reload: " in line for line in self.log)
         self.process.send_signal(signal.SIGHUP)
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             while sum("reload: " in line for line in self.log) == before:
                 await asyncio.sleep(0.01)
 
-    def moved(self, discovery: Discovery) -> str:
+    def config_with_discovery(self, discovery: FakeDiscovery) -> str:
         """The configuration with another discovery."""
-        return json.dumps({**json.loads(self.file.read_text()), "discovery": discovery.address})
+        return json.dumps({**json.loads(self.config_file.read_text()), "discovery": discovery.address})
 
     async def stop(self) -> int:
         told = any(
@@ -283,19 +283,19 @@
         )  # a second signal may meet it at its very end
         if self.process.returncode is None and not told:
             self.process.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.process.wait()
             await self._reading
         assert self.process.returncode is not None
         return self.process.returncode
 
 
-async def started(
+async def start_balancer(
     file: Path,
     sockets: int = 1024,
     environ: dict[str, str] | None = None,
     command: tuple[str, ...] = ("-m", "switchhub"),
-) -> Program:
+) -> BalancerProcess:
     """The program with this configuration, once it listens."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -308,7 +308,7 @@
     assert process.stderr is not None
     before: list[str] = []
     try:
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             while b"listens on" not in (line := await process.stderr.readline()):
                 assert line, f"the program ended: {before}"
                 before.append(line.decode())
@@ -316,34 +316,34 @@
         if process.returncode is None:
             process.kill()
         raise
-    program = Program(process, int(line.rsplit(b":", 1)[1]), file)
+    program = BalancerProcess(process, int(line.rsplit(b":", 1)[1]), file)
     program.log[:0] = before
     return program
 
 
-async def ended(program: Program) -> None:
+async def assert_clean_exit(program: BalancerProcess) -> None:
     """The program's end, as it should be."""
     assert program.process.returncode in (None, 0) or program.killed, program.log
     assert not any("Traceback" in line for line in program.log), program.log
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def running_balancer(
     path: Path,
-    *servers: Server,
-    told: dict[str, Any] | None = None,
+    *servers: FakeServer,
+    deployment_settings: dict[str, Any] | None = None,
     sockets: int = 1024,
-    fails: int = 0,
+    discovery_failures: int = 0,
     management: bool = False,
     command: tuple[str, ...] = ("-m", "switchhub"),
-) -> AsyncIterator[tuple[Program, Discovery]]:
+) -> AsyncIterator[tuple[BalancerProcess, FakeDiscovery]]:
     """Servers, discovery and the program, started; ended with the block."""
-    discovery = Discovery(list(servers))
-    parts: list[Server | Discovery] = [*servers, discovery]
+    discovery = FakeDiscovery(list(servers))
+    parts: list[FakeServer | FakeDiscovery] = [*servers, discovery]
     for part in parts:
         await part.start()
     known = discovery.listing()
-    discovery.fails = fails
+    discovery.fails = discovery_failures
     config = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -351,16 +351,16 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": sockets},
         "known": known,
-        "settings": told or settings(),
+        "settings": deployment_settings or settings(),
     }
     if management:
         config["management"] = "127.0.0.1:0"
     file = path / "config.json"
     file.write_text(json.dumps(config))
-    program = await started(file, sockets, command=command)
+    program = await start_balancer(file, sockets, command=command)
     try:
         yield program, discovery
-        await ended(program)
+        await assert_clean_exit(program)
     finally:
         if program.process.returncode is None:
             program.process.kill()
@@ -374,6 +374,6 @@
     reset_transport(writer.transport)
 
 
-def memory(pid: int) -> int:
+def resident_bytes(pid: int) -> int:
     """Bytes that the process holds."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 
 from switchhub.decision.interface import Repeat, ServerState
 from switchhub.net.config import ConfigError, flatten, parse_address, parse_listing, read_config
-from tests.rig import settings
+from tests.harness import settings
 
 ENTRY = {
     "id": "s-1",
--- a/tests/test_discovery_retry.py
+++ b/tests/test_discovery_retry.py
@@ -22,7 +22,7 @@
 )
 from switchhub.decision.placement import Balancer
 from tests.balancer_driver import BalancerDriver, make_server, make_settings
-from tests.rig import Server, running
+from tests.harness import FakeServer, running_balancer
 
 TOLD = 6000.0  # milliseconds after which what discovery has counts as told, from its return or a silence
 WORK, PATIENCE, BOUND = 125.0, 2000.0, 24  # milliseconds a call takes, a caller waits; calls that may wait
@@ -144,17 +144,17 @@
     """Found on calm+brink: a watch waited 10 s and 2.2 s more, the next call came up to 3 s after that."""
 
     async def play() -> None:
-        servers = [Server("a"), Server("b")]
-        async with running(tmp_path, *servers) as (program, discovery):
+        servers = [FakeServer("a"), FakeServer("b")]
+        async with running_balancer(tmp_path, *servers) as (program, discovery):
             async with asyncio.timeout(10):
-                while len(discovery.asked) < 2:  # the watch is heard
+                while len(discovery.queries) < 2:  # the watch is heard
                     await asyncio.sleep(0.01)
-                discovery.mute = 1
-                while discovery.mute:
+                discovery.unanswered_calls = 1
+                while discovery.unanswered_calls:
                     await asyncio.sleep(0.01)
             async with asyncio.timeout((TOLD - PATIENCE) / 1000):  # a full queue's time to spare
                 await discovery.change("b", "Terminating")
-                await program.logged("server b draining")
+                await program.wait_for_log("server b draining")
             assert any("discovery: silent, called anew" in line for line in program.log)
 
     asyncio.run(play())
@@ -190,12 +190,12 @@
     """Danger: a whole list, then a watch, from every balancer that was killed: twice the calls."""
 
     async def play() -> None:
-        servers = [Server("a"), Server("b")]
-        async with running(tmp_path, *servers) as (program, discovery):
-            await program.up()
+        servers = [FakeServer("a"), FakeServer("b")]
+        async with running_balancer(tmp_path, *servers) as (program, discovery):
+            await program.connect()
             await discovery.change("b", "Terminating")
-            await program.logged("server b draining")
-            assert discovery.asked[0].startswith("index=1&wait=")
-            assert not any(query == "" for query in discovery.asked)
+            await program.wait_for_log("server b draining")
+            assert discovery.queries[0].startswith("index=1&wait=")
+            assert not any(query == "" for query in discovery.queries)
 
     asyncio.run(play())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,16 @@
 from switchhub.handover import messages
 from switchhub.handover.channel import Channel
 from switchhub.handover.sender import HandoverSender, socket_path
-from tests.rig import WITHIN, Client, Program, Server, ended, running, settings, started
+from tests.harness import (
+    TIMEOUT_S,
+    BalancerProcess,
+    Client,
+    FakeServer,
+    assert_clean_exit,
+    running_balancer,
+    settings,
+    start_balancer,
+)
 
 # The form.
 
@@ -102,43 +111,43 @@
 # The program.
 
 
-async def beside(program: Program, **environ: str) -> Program:
+async def beside(program: BalancerProcess, **environ: str) -> BalancerProcess:
     """A new process at the same clients' address."""
-    config = {**json.loads(program.file.read_text()), "listen": f"127.0.0.1:{program.port}"}
-    file = program.file.parent / "next.json"
+    config = {**json.loads(program.config_file.read_text()), "listen": f"127.0.0.1:{program.port}"}
+    file = program.config_file.parent / "next.json"
     file.write_text(json.dumps(config))
-    new = await started(file, environ=environ)
-    new.file = program.file
+    new = await start_balancer(file, environ=environ)
+    new.config_file = program.config_file
     return new
 
 
 @contextlib.asynccontextmanager
-async def upgrade(program: Program, **environ: str) -> AsyncIterator[Program]:
+async def upgrade(program: BalancerProcess, **environ: str) -> AsyncIterator[BalancerProcess]:
     """A new process that is ready, ended with the block."""
     new = await beside(program, **environ)
     try:
         assert (await new.call("GET /healthcheck"))[0] == 200
         yield new
-        await ended(new)
+        await assert_clean_exit(new)
     finally:
         if new.process.returncode is None:
             new.process.kill()
             await new.process.wait()
 
 
-async def gone(program: Program) -> None:
+async def gone(program: BalancerProcess) -> None:
     """Told to stop, it ends by itself and in order."""
     program.process.terminate()
-    async with asyncio.timeout(WITHIN):
+    async with asyncio.timeout(TIMEOUT_S):
         assert await program.process.wait() == 0
-    await ended(program)
+    await assert_clean_exit(program)
 
 
 def test_standing_connections_go_on_in_the_new_process(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Server("a")
-        async with running(tmp_path, server, management=True) as (old, _):
-            clients = [await old.up() for _ in range(20)]
+        server = FakeServer("a")
+        async with running_balancer(tmp_path, server, management=True) as (old, _):
+            clients = [await old.connect() for _ in range(20)]
             clients[0].send(b"M ha")
             server.streams[1][1].write(b"hal")
             await asyncio.sleep(0.05)
@@ -150,21 +159,21 @@
                 assert asyncio.get_running_loop().time() - begun < 1.0
                 clients[0].send(b"lf\r\n")
                 server.streams[1][1].write(b"f\r\n")
-                assert await clients[0].line() == b"M half\r\n"
-                assert await clients[1].line() == b"half\r\n"
+                assert await clients[0].read_line() == b"M half\r\n"
+                assert await clients[1].read_line() == b"half\r\n"
                 for client in clients:
                     client.send(b"M 1\r\n")
-                    assert await client.line() == b"M 1\r\n"
-                assert (await new.figures())["concurrent"] == 20
+                    assert await client.read_line() == b"M 1\r\n"
+                assert (await new.metrics())["concurrent"] == 20
                 clients[2].writer.close()
                 server.streams[3][1].close()
-                assert await clients[3].end() == b""
-                async with asyncio.timeout(WITHIN):
+                assert await clients[3].read_to_end() == b""
+                async with asyncio.timeout(TIMEOUT_S):
                     await server.streams[2][1].wait_closed()
-                assert len(server.opened) == 20
-                again = await new.up()
+                assert len(server.first_lines) == 20
+                again = await new.connect()
                 again.send(b"M 2\r\n")
-                assert await again.line() == b"M 2\r\n"
+                assert await again.read_line() == b"M 2\r\n"
 
     asyncio.run(play())
 
@@ -173,41 +182,41 @@
     """Without the hand-over's sums, the new process fills both servers alike."""
 
     async def play() -> None:
-        servers = Server("a"), Server("b")
-        async with running(tmp_path, *servers, management=True) as (old, discovery):
+        servers = FakeServer("a"), FakeServer("b")
+        async with running_balancer(tmp_path, *servers, management=True) as (old, discovery):
             await discovery.change("b", "Terminating")
-            await old.logged("server b draining")
-            clients = [await old.up(",h=100") for _ in range(10)]
+            await old.wait_for_log("server b draining")
+            clients = [await old.connect(",h=100") for _ in range(10)]
             await discovery.change("b", "Ready")
-            await old.logged("server b ready")
+            await old.wait_for_log("server b ready")
             async with upgrade(old) as new:
                 for count in range(1, 11):
-                    clients.append(await new.up(",h=100"))
-                    assert len(servers[1].opened) == count
+                    clients.append(await new.connect(",h=100"))
+                    assert len(servers[1].first_lines) == count
                 await gone(old)
                 for client in clients[:10]:  # the sums fall as they end
                     client.writer.close()
-                async with asyncio.timeout(WITHIN):
-                    while (await new.figures())["concurrent"] != 10:
+                async with asyncio.timeout(TIMEOUT_S):
+                    while (await new.metrics())["concurrent"] != 10:
                         await asyncio.sleep(0.02)
-                before = len(servers[0].opened)
+                before = len(servers[0].first_lines)
                 for _ in range(8):
-                    await new.up(",h=100")
-                assert len(servers[0].opened) >= before + 7
+                    await new.connect(",h=100")
+                assert len(servers[0].first_lines) >= before + 7
 
     asyncio.run(play())
 
 
 def test_an_id_that_the_old_process_holds_is_taken(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (old, _):
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.client()
             client.send(b"OPEN 00aa key c=any,t=acme,d=2000\r\n")
-            assert (await client.line()).startswith(b"UP ")
+            assert (await client.read_line()).startswith(b"UP ")
             async with upgrade(old):
                 other = await old.client()
                 other.send(b"OPEN 00aa key c=any,t=acme,d=2000\r\n")
-                assert await other.line() == b"ERR\r\n"
+                assert await other.read_line() == b"ERR\r\n"
 
     asyncio.run(play())
 
@@ -219,67 +228,67 @@
     monkeypatch.setenv("SWITCHHUB_LOG", "DEBUG")
 
     async def play() -> None:
-        server = Server("a")
-        async with running(tmp_path, server, management=True) as (old, _), upgrade(old) as new:
+        server = FakeServer("a")
+        async with running_balancer(tmp_path, server, management=True) as (old, _), upgrade(old) as new:
             for number in range(100):  # the old one may accept for a moment after the new one is ready
                 held, client = f"00bb{number:02}", await new.client()
                 client.send(b"OPEN %s key c=pay,t=acme,d=2000\r\n" % held.encode())
-                assert (await client.line()).startswith(b"UP ")
-                if "taken" not in await old.logged(f" {held} "):
+                assert (await client.read_line()).startswith(b"UP ")
+                if "taken" not in await old.wait_for_log(f" {held} "):
                     break
-            await old.logged(f"{held} is the new process's")
+            await old.wait_for_log(f"{held} is the new process's")
             new.process.send_signal(signal.SIGSTOP)
-            await old.logged("the new process is silent")
+            await old.wait_for_log("the new process is silent")
             other = await old.client()
             other.send(b"OPEN %s key c=pay,t=acme,d=2000\r\n" % held.encode())
-            assert await other.line() == b"ERR\r\n"
-            await old.up()
+            assert await other.read_line() == b"ERR\r\n"
+            await old.connect()
             new.process.send_signal(signal.SIGCONT)
-            await old.logged("the new process accepts from now on")
+            await old.wait_for_log("the new process accepts from now on")
             client.send(b"M 1\r\n")
-            assert await client.line() == b"M 1\r\n"
-            assert len([line for line in server.opened if held.encode() in line]) == 1
+            assert await client.read_line() == b"M 1\r\n"
+            assert len([line for line in server.first_lines if held.encode() in line]) == 1
 
     asyncio.run(play())
 
 
 def test_what_is_being_set_up_stays_with_the_old_process_and_follows(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Server("a", "silent")
-        async with running(tmp_path, server, management=True) as (old, _):
+        server = FakeServer("a", "silent")
+        async with running_balancer(tmp_path, server, management=True) as (old, _):
             client = await old.open(kind="pay")
-            async with asyncio.timeout(WITHIN):
-                while not server.opened:
+            async with asyncio.timeout(TIMEOUT_S):
+                while not server.first_lines:
                     await asyncio.sleep(0.01)
             async with upgrade(old) as new:
                 old.process.terminate()
-                await old.logged("stopping with")
+                await old.wait_for_log("stopping with")
                 server.streams[0][1].write(b"UP a-1\r\n")
-                assert await client.line() == b"UP a-1\r\n"
-                async with asyncio.timeout(WITHIN):
+                assert await client.read_line() == b"UP a-1\r\n"
+                async with asyncio.timeout(TIMEOUT_S):
                     assert await old.process.wait() == 0
-                    while (await new.figures())["concurrent"] != 1:
+                    while (await new.metrics())["concurrent"] != 1:
                         await asyncio.sleep(0.02)
                 server.streams[0][1].write(b"hello\r\n")
-                assert await client.line() == b"hello\r\n"
-                assert len(server.opened) == 1
+                assert await client.read_line() == b"hello\r\n"
+                assert len(server.first_lines) == 1
 
     asyncio.run(play())
 
 
 def test_who_does_not_take_what_is_written_is_moved_and_the_rest_goes_on(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Server("a")
-        async with running(tmp_path, server, management=True) as (old, _):
-            deaf, client = await old.up(), await old.up()
+        server = FakeServer("a")
+        async with running_balancer(tmp_path, server, management=True) as (old, _):
+            deaf, client = await old.connect(), await old.connect()
             deaf.reader._transport.pause_reading()  # type: ignore[attr-defined]
             for _ in range(4000):
                 server.streams[0][1].write(b"x" * 2000 + b"\r\n")
             async with upgrade(old) as new:
                 await gone(old)
                 client.send(b"M 1\r\n")
-                assert await client.line() == b"M 1\r\n"
-                assert (await new.figures())["concurrent"] == 1
+                assert await client.read_line() == b"M 1\r\n"
+                assert (await new.metrics())["concurrent"] == 1
 
     asyncio.run(play())
 
@@ -288,24 +297,24 @@
     """More is passed on than the channel holds: the old process waits until it is taken."""
 
     async def play() -> None:
-        servers = [Server(name) for name in "ab"]
-        async with running(tmp_path, *servers, management=True, sockets=4096) as (old, _):
-            clients = [await old.up() for _ in range(500)]
+        servers = [FakeServer(name) for name in "ab"]
+        async with running_balancer(tmp_path, *servers, management=True, sockets=4096) as (old, _):
+            clients = [await old.connect() for _ in range(500)]
             async with upgrade(old) as new:
                 new.process.send_signal(signal.SIGSTOP)
                 old.process.terminate()
-                await old.logged("stopping with")
+                await old.wait_for_log("stopping with")
                 await asyncio.sleep(0.5)
                 assert old.process.returncode is None
                 new.process.send_signal(signal.SIGCONT)
-                async with asyncio.timeout(WITHIN):
+                async with asyncio.timeout(TIMEOUT_S):
                     assert await old.process.wait() == 0
-                    while (await new.figures())["concurrent"] != len(clients):
+                    while (await new.metrics())["concurrent"] != len(clients):
                         await asyncio.sleep(0.02)
                 for client in clients:
                     client.send(b"M 1\r\n")
                 for client in clients:
-                    assert await client.line() == b"M 1\r\n"
+                    assert await client.read_line() == b"M 1\r\n"
 
     asyncio.run(play())
 
@@ -314,27 +323,27 @@
     """Before the old one was told to stop; it serves on, its connections never left it."""
 
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (old, _):
-            client = await old.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
+            client = await old.connect()
             path = socket_path(str(tmp_path), "n0")
             before = os.stat(path).st_ino
             new = await beside(old)
-            await old.logged("giving way")
-            async with asyncio.timeout(WITHIN):
+            await old.wait_for_log("giving way")
+            async with asyncio.timeout(TIMEOUT_S):
                 while os.stat(path).st_ino == before:  # until the new one has taken the meeting place too
                     await asyncio.sleep(0.01)
             new.process.kill()
             await new.process.wait()
-            await old.logged("ready again")
+            await old.wait_for_log("ready again")
             assert (await old.call("GET /healthcheck"))[0] == 200
-            kept = [await old.up() for _ in range(3)]
+            kept = [await old.connect() for _ in range(3)]
             client.send(b"M 1\r\n")
-            assert await client.line() == b"M 1\r\n"
+            assert await client.read_line() == b"M 1\r\n"
             async with upgrade(old) as third:
                 await gone(old)
                 client.send(b"M 2\r\n")
-                assert await client.line() == b"M 2\r\n"
-                assert (await third.figures())["concurrent"] == 1 + len(kept)
+                assert await client.read_line() == b"M 2\r\n"
+                assert (await third.metrics())["concurrent"] == 1 + len(kept)
 
     asyncio.run(play())
 
@@ -381,41 +390,41 @@
 )
 def test_a_stranger_at_the_meeting_place_changes_nothing(tmp_path: Path, words: list[bytes]) -> None:
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (old, _):
-            client = await old.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
+            client = await old.connect()
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
                 stranger.connect(socket_path(str(tmp_path), "n0"))
                 for word in words:
                     stranger.send(word.replace(b'"PORT"', str(old.port).encode()))
-                await old.logged("hand-over: ")
-            async with asyncio.timeout(WITHIN):
+                await old.wait_for_log("hand-over: ")
+            async with asyncio.timeout(TIMEOUT_S):
                 while (await old.call("GET /healthcheck"))[0] != 200:
                     await asyncio.sleep(0.01)
-            await old.up()
+            await old.connect()
             async with upgrade(old):
                 await gone(old)
                 client.send(b"M 1\r\n")
-                assert await client.line() == b"M 1\r\n"
+                assert await client.read_line() == b"M 1\r\n"
 
     asyncio.run(play())
 
 
 def test_an_old_process_killed_while_it_holds_connections_leaves_no_sums(tmp_path: Path) -> None:
     async def play() -> None:
-        servers = Server("a"), Server("b")
-        async with running(tmp_path, *servers, management=True) as (old, _):
-            clients = [await old.up(",h=100") for _ in range(6)]
+        servers = FakeServer("a"), FakeServer("b")
+        async with running_balancer(tmp_path, *servers, management=True) as (old, _):
+            clients = [await old.connect(",h=100") for _ in range(6)]
             async with upgrade(old) as new:
                 old.killed = True
                 old.process.kill()
                 await old.process.wait()
-                await new.logged("the old process has ended; 6 of its sessions went with it")
+                await new.wait_for_log("the old process has ended; 6 of its sessions went with it")
                 for client in clients:
                     with contextlib.suppress(ConnectionError):
-                        await client.end()
-                kept = [await new.up(",h=100") for _ in range(4)]
-                assert (await new.figures())["concurrent"] == len(kept)
-                assert {len(server.opened) for server in servers} == {3 + 2}
+                        await client.read_to_end()
+                kept = [await new.connect(",h=100") for _ in range(4)]
+                assert (await new.metrics())["concurrent"] == len(kept)
+                assert {len(server.first_lines) for server in servers} == {3 + 2}
 
     asyncio.run(play())
 
@@ -434,8 +443,8 @@
     the old process moves those that it holds."""
 
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (old, _):
-            client = await old.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
+            client = await old.connect()
             folder = tmp_path / ("x" * 120 if there == "long" else "other")
             folder.mkdir()
             path = socket_path(str(folder), "n0")
@@ -462,15 +471,15 @@
                 told = asyncio.create_task(answer(other))
             async with upgrade(old, TMPDIR=str(folder)) as new:
                 if other is not None:
-                    await new.logged(
+                    await new.wait_for_log(
                         "MessageError: no" if there == "other form" else "MessageError: no number: -1"
                     )
-                kept = [await new.up() for _ in range(6)]
+                kept = [await new.connect() for _ in range(6)]
                 old.process.terminate()
-                assert await client.end() == b"MOVE\r\n"
-                async with asyncio.timeout(WITHIN):
+                assert await client.read_to_end() == b"MOVE\r\n"
+                async with asyncio.timeout(TIMEOUT_S):
                     assert await old.process.wait() == 0
-                kept += [await new.up() for _ in range(6)]
+                kept += [await new.connect() for _ in range(6)]
                 if there == "foreign":
                     assert Path(path).read_text() == "mine"
                 if other is not None:
@@ -515,7 +524,7 @@
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 writer.write(b"OPEN %08x%08x key c=any,t=acme,d=2000\r\n" % (number + 1, at))
-                async with asyncio.timeout(WITHIN):
+                async with asyncio.timeout(TIMEOUT_S):
                     told = await reader.readline()
             except (ConnectionError, TimeoutError):
                 counts["door"] += 1
@@ -529,7 +538,7 @@
                 writer.write(text[:3])
                 await asyncio.sleep(0.002)
                 writer.write(text[3:])
-                async with asyncio.timeout(WITHIN):
+                async with asyncio.timeout(TIMEOUT_S):
                     back = await reader.readline()
                 if back != text:
                     counts["moved" if back == b"MOVE\r\n" else "twice" if back[:3] == b"UP " else "lost"] += 1
@@ -541,15 +550,17 @@
 
 def test_ten_upgrades_in_a_row_under_steady_connects(tmp_path: Path) -> None:
     async def play() -> None:
-        servers = [Server(name) for name in "abc"]
+        servers = [FakeServer(name) for name in "abc"]
         # The stand-in servers live in this process, which stands still while it forks the next balancer: with
         # an aim of 50 ms that is strain, for which clients are moved and refused, rightly, whoever upgrades.
         told = settings()
-        told["FamilyInfo"]["MessageAim"] = [WITHIN * 1000.0] * 2
-        async with running(tmp_path, *servers, told=told, management=True, sockets=4096) as (first, _):
+        told["FamilyInfo"]["MessageAim"] = [TIMEOUT_S * 1000.0] * 2
+        async with running_balancer(
+            tmp_path, *servers, deployment_settings=told, management=True, sockets=4096
+        ) as (first, _):
             steady = Steady(first.port)
             clients = [asyncio.create_task(steady.one(number)) for number in range(20)]
-            standing: list[Client] = [await first.up() for _ in range(20)]
+            standing: list[Client] = [await first.connect() for _ in range(20)]
             async with contextlib.AsyncExitStack() as stack:
                 present = first
                 for _ in range(10):
@@ -558,7 +569,7 @@
                     present = new
                 for client in standing:
                     client.send(b"M 1\r\n")
-                    assert await client.line() == b"M 1\r\n"
+                    assert await client.read_line() == b"M 1\r\n"
                 steady.going = False
                 await asyncio.gather(*clients)
                 counts = steady.counts
@@ -577,28 +588,28 @@
 
 def test_a_second_upgrade_while_the_first_process_still_leaves(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Server("a", "silent")
-        async with running(tmp_path, server, management=True) as (first, _):
+        server = FakeServer("a", "silent")
+        async with running_balancer(tmp_path, server, management=True) as (first, _):
             waits = await first.open()
-            async with asyncio.timeout(WITHIN):
-                while not server.opened:
+            async with asyncio.timeout(TIMEOUT_S):
+                while not server.first_lines:
                     await asyncio.sleep(0.01)
             server.mode = "up"
-            client = await first.up()
+            client = await first.connect()
             async with upgrade(first) as second:
                 first.process.terminate()
-                await first.logged("stopping with")
+                await first.wait_for_log("stopping with")
                 async with upgrade(second) as third:
                     second.process.terminate()
-                    await second.logged("stopping with")
+                    await second.wait_for_log("stopping with")
                     server.streams[0][1].write(b"UP a-1\r\n")
-                    assert await waits.line() == b"UP a-1\r\n"
-                    async with asyncio.timeout(WITHIN):
+                    assert await waits.read_line() == b"UP a-1\r\n"
+                    async with asyncio.timeout(TIMEOUT_S):
                         assert await first.process.wait() == 0
                         assert await second.process.wait() == 0
                     client.send(b"M 1\r\n")
-                    assert await client.line() == b"M 1\r\n"
-                    assert (await third.figures())["concurrent"] >= 1
+                    assert await client.read_line() == b"M 1\r\n"
+                    assert (await third.metrics())["concurrent"] >= 1
 
     asyncio.run(play())
 
@@ -608,8 +619,8 @@
     listening socket wait, this one stands still from the next client until the one after that."""
 
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (first, _):
-            client = await first.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (first, _):
+            client = await first.connect()
             async with upgrade(first) as second:
                 await gone(first)
                 asks = Channel.to(socket_path(str(tmp_path), "n0"))
@@ -620,9 +631,9 @@
                 )
                 received = await asks.receive()
                 assert received is not None and len(received[1]) == 1
-                await second.up()
+                await second.connect()
                 client.send(b"M 1\r\n")
-                assert await client.line() == b"M 1\r\n"
+                assert await client.read_line() == b"M 1\r\n"
                 received[1][0].close()
                 asks.close()
 
@@ -653,13 +664,13 @@
 
 def test_a_drain_of_the_old_process_moves_what_it_holds(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (old, _):
-            client = await old.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
+            client = await old.connect()
             async with upgrade(old) as new:
                 assert (await old.call("PUT /healthcheck/fail"))[0] == 200
-                assert await client.end() == b"MOVE\r\n"
+                assert await client.read_to_end() == b"MOVE\r\n"
                 assert (await new.call("GET /healthcheck"))[0] == 200
-                await new.up()
+                await new.connect()
                 await gone(old)
 
     asyncio.run(play())
@@ -669,30 +680,30 @@
     """It holds what was passed on, so it moves that; the old one is done."""
 
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (old, _):
-            client = await old.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
+            client = await old.connect()
             async with upgrade(old) as new:
                 await gone(old)
                 assert (await new.call("PUT /healthcheck/fail"))[0] == 200
-                assert await client.end() == b"MOVE\r\n"
+                assert await client.read_to_end() == b"MOVE\r\n"
                 assert (await new.call("PUT /healthcheck/ok"))[0] == 200
-                await new.up()
+                await new.connect()
 
     asyncio.run(play())
 
 
 def test_a_new_process_beside_one_that_stops_already_starts_as_any(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path, Server("a"), management=True) as (old, _):
-            client = await old.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
+            client = await old.connect()
             old.process.terminate()
-            await old.logged("stopping with")
+            await old.wait_for_log("stopping with")
             async with upgrade(old) as new:
-                assert await client.end() == b"MOVE\r\n"
-                async with asyncio.timeout(WITHIN):
+                assert await client.read_to_end() == b"MOVE\r\n"
+                async with asyncio.timeout(TIMEOUT_S):
                     assert await old.process.wait() == 0
-                kept = [await new.up() for _ in range(3)]
-                assert (await new.figures())["concurrent"] == len(kept)
+                kept = [await new.connect() for _ in range(3)]
+                assert (await new.metrics())["concurrent"] == len(kept)
 
     asyncio.run(play())
 
@@ -701,18 +712,18 @@
     """What discovery has told holds for both: the new process starts from there and not from its file."""
 
     async def play() -> None:
-        servers = Server("a"), Server("b")
-        async with running(tmp_path, *servers, management=True) as (old, discovery):
+        servers = FakeServer("a"), FakeServer("b")
+        async with running_balancer(tmp_path, *servers, management=True) as (old, discovery):
             await discovery.change("b", "Terminating")
-            await old.logged("server b draining")
+            await old.wait_for_log("server b draining")
             calls = discovery.calls
             async with upgrade(old) as new:
-                assert (await new.figures())["targets_disabled"] == 1
+                assert (await new.metrics())["targets_disabled"] == 1
                 for _ in range(4):
-                    await new.up()
-                assert not servers[1].opened
+                    await new.connect()
+                assert not servers[1].first_lines
                 await asyncio.sleep(0.1)
-                assert discovery.asked[calls:] and discovery.asked[-1].startswith(
+                assert discovery.queries[calls:] and discovery.queries[-1].startswith(
                     f"index={discovery.version}&"
                 )
                 await gone(old)
@@ -748,17 +759,20 @@
 
     async def play() -> None:
         command = ("-c", REFUSED)
-        async with running(tmp_path, Server("a"), management=management, command=command) as (program, _):
-            client = await program.up()
+        async with running_balancer(tmp_path, FakeServer("a"), management=management, command=command) as (
+            program,
+            _,
+        ):
+            client = await program.connect()
             client.send(b"M 1\r\n")
-            assert await client.line() == b"M 1\r\n"
+            assert await client.read_line() == b"M 1\r\n"
             if management:
                 assert (await program.call("GET /healthcheck"))[0] == 200
-                await program.logged("no hand-over")
+                await program.wait_for_log("no hand-over")
             assert any("Unix socket" in line for line in program.log) is management
             program.process.terminate()
-            assert await client.end() == b"MOVE\r\n"
-            async with asyncio.timeout(WITHIN):
+            assert await client.read_to_end() == b"MOVE\r\n"
+            async with asyncio.timeout(TIMEOUT_S):
                 assert await program.process.wait() == 0
         assert not [each for each in os.listdir(tmp_path) if "sock" in each]
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -4,26 +4,26 @@
 
 import pytest
 
-from switchhub.net.health import GROWTH, Health, LoadLines
+from switchhub.net.health import GROWTH, LoadLines, ServerHealth
 
 
 def test_a_server_is_silent_sooner_the_more_lines_wait() -> None:
-    health = Health()
-    health.answered("a", 1000.0)
-    assert not health.silent("a", 1, 2900.0, 3900.0)
-    assert health.silent("a", 1, 3000.0, 4000.0)
-    health.answered("b", 1000.0)
-    assert not health.silent("b", 9, 900.0, 2500.0)
-    assert health.silent("b", 9, 1000.0, 2500.0)
+    health = ServerHealth()
+    health.record_answer("a", 1000.0)
+    assert not health.is_silent("a", 1, 2900.0, 3900.0)
+    assert health.is_silent("a", 1, 3000.0, 4000.0)
+    health.record_answer("b", 1000.0)
+    assert not health.is_silent("b", 9, 900.0, 2500.0)
+    assert health.is_silent("b", 9, 1000.0, 2500.0)
 
 
 def test_one_answer_on_any_connection_ends_the_silence() -> None:
-    health = Health()
-    health.answered("a", 1000.0)
-    assert health.silent("a", 3, 2000.0, 4000.0)
-    assert health.silent("a", 1, 300.0, 4100.0)
-    health.answered("a", 4200.0)
-    assert not health.silent("a", 3, 3000.0, 4300.0)
+    health = ServerHealth()
+    health.record_answer("a", 1000.0)
+    assert health.is_silent("a", 3, 2000.0, 4000.0)
+    assert health.is_silent("a", 1, 300.0, 4100.0)
+    health.record_answer("a", 4200.0)
+    assert not health.is_silent("a", 3, 3000.0, 4300.0)
 
 
 def feed(loads: LoadLines, *lines: tuple[float, float], due: bool = False) -> list[bool]:
@@ -58,7 +58,7 @@
 
 
 def test_another_connection_goes_on_with_what_its_server_tells() -> None:
-    health = Health()
+    health = ServerHealth()
     health.told("a", 1000.0, 300.0)
     assert health.due("a", 2010.0)
     assert not health.due("a", 1500.0)
@@ -70,7 +70,7 @@
 
 
 def test_while_a_server_tells_its_delay_answered_lines_say_nothing() -> None:
-    health = Health()
+    health = ServerHealth()
     assert not health.tells("a", 1000.0)
     health.told("a", 1000.0, 300.0)
     assert health.tells("a", 2400.0)
@@ -91,7 +91,7 @@
     loads = LoadLines(19_099.0)  # due, but 260 ms were told last
     assert not loads.is_delay(3807.1, 12_400.0, True, 260.5 + GROWTH)
     assert loads.load == 3807.1
-    health = Health()
+    health = ServerHealth()
     assert health.most("a", 1000.0) == GROWTH
     health.told("a", 1000.0, 300.0)
     assert health.most("a", 2040.0) == 300.0 + GROWTH
@@ -100,7 +100,7 @@
 
 
 def test_what_is_due_and_not_too_long_is_a_delay_whatever_the_hint() -> None:
-    health = Health()  # as seen on a server that came to a standstill, on connections of small hints
+    health = ServerHealth()  # as seen on a server that came to a standstill, on connections of small hints
     health.told("a", 11_580.0, 385.0)
     for now, usual, value in ((12_570, 1359, 1122.5), (13_570, 5529, 2052.9), (15_560, 4698, 3058.5)):
         loads = LoadLines(float(usual))
@@ -113,7 +113,7 @@
 
 
 def test_a_row_of_tellings_is_found_across_connections() -> None:
-    health = Health()  # as seen: the hints are too small and too large for either line alone
+    health = ServerHealth()  # as seen: the hints are too small and too large for either line alone
     assert not health.begins("a", 9050.0, 431.3, 16_341.0)
     assert not health.begins("b", 10_050.0, 771.2, 4083.0), "another server's"
     assert not health.begins("a", 9900.0, 300.0, 16_341.0)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchhub.lifecycle.pace import Pace
+from switchhub.lifecycle.move_pacer import MovePacer
 from switchhub.lifecycle.phase import Lifecycle, Phase
 
 
@@ -51,8 +51,8 @@
     life = ready()
     life.stop()
     assert not life.restore() and not life.drain()
-    life.yield_to()
-    assert life.leaving and not life.healthy
+    life.supersede()
+    assert life.stopping and not life.healthy
 
 
 def test_one_that_stops_says_no_to_ping_only_if_it_was_drained() -> None:
@@ -67,32 +67,32 @@
 
 def test_one_that_gives_way_still_answers_ping_for_its_successor() -> None:
     life = ready()
-    assert life.yield_to() and not life.yield_to()
+    assert life.supersede() and not life.supersede()
     assert life.answers_ping and not life.healthy
     assert not life.restore()
     life.stop()
-    assert life.answers_ping and not life.healthy and not life.take_back()
+    assert life.answers_ping and not life.healthy and not life.reinstate()
 
 
 def test_a_successor_that_has_gone_leaves_everything_as_it_was() -> None:
     life = ready()
-    life.yield_to()
-    assert life.take_back() and life.healthy
+    life.supersede()
+    assert life.reinstate() and life.healthy
     life.drain()
-    life.yield_to()
-    assert life.take_back() and not life.healthy and not life.answers_ping
+    life.supersede()
+    assert life.reinstate() and not life.healthy and not life.answers_ping
     assert life.restore() and life.healthy
 
 
 def test_a_drain_while_giving_way_is_carried_out_once() -> None:
     life = ready()
-    life.yield_to()
+    life.supersede()
     assert life.drain() and not life.drain()
     assert life.answers_ping
 
 
 def test_pace_is_even_and_done_in_time() -> None:
-    pace, standing, moved = Pace(1.0, 3.0), 200, []
+    pace, standing, moved = MovePacer(1.0, 3.0), 200, []
     for step in range(300):
         now = step * 0.01
         due = pace.due(now, standing)
@@ -105,14 +105,14 @@
 
 
 def test_who_comes_up_after_the_end_goes_at_once() -> None:
-    pace = Pace(0.0, 1.0)
+    pace = MovePacer(0.0, 1.0)
     assert pace.due(1.5, 0) == 0
     assert pace.due(1.6, 3) == 3
 
 
 @given(st.lists(st.tuples(st.floats(0.001, 0.4), st.integers(0, 20)), min_size=1, max_size=60))
 def test_pace_never_moves_more_than_stand_and_leaves_nobody(steps: list[tuple[float, int]]) -> None:
-    pace, now, standing = Pace(0.0, 2.0), 0.0, 50
+    pace, now, standing = MovePacer(0.0, 2.0), 0.0, 50
     for wait, come in steps:
         now += wait
         standing += come
--- a/tests/test_lines.py
+++ b/tests/test_line_socket.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from switchhub.net.lines import LINE_MAX, LineError, Sockets, Wire, parse_head
+from switchhub.net.line_socket import LINE_MAX, LineError, LineSocket, SocketBudget, parse_head
 
 WORD = st.text(alphabet="abcdefghijklmnopqrstuvwxyz0123456789-./", min_size=1, max_size=12)
 
@@ -44,9 +44,9 @@
     assert (head.before, head.after) == (line, b"")
 
 
-async def pair() -> tuple[Wire, socket.socket]:
+async def pair() -> tuple[LineSocket, socket.socket]:
     here, there = socket.socketpair()
-    return Wire(here, Sockets(100)), there
+    return LineSocket(here, SocketBudget(100)), there
 
 
 def test_lines_in_pieces_and_several_at_once() -> None:
@@ -111,7 +111,7 @@
 
 def test_sockets_are_counted_and_some_kept_for_clients() -> None:
     async def play() -> None:
-        sockets = Sockets(42)  # ten besides those for files, nine of them for requests
+        sockets = SocketBudget(42)  # ten besides those for files, nine of them for requests
         wires = [sockets.to_server() for _ in range(9)]
         with pytest.raises(OSError, match="kept for clients"):
             sockets.to_server()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -13,7 +13,7 @@
 from switchhub.decision.interface import ServerState
 from switchhub.net.config import Entry, Listing, ListingError, checked, parse_listing
 from tests.balancer_driver import make_server
-from tests.rig import Server, running
+from tests.harness import FakeServer, running_balancer
 
 Told = dict[str, Any]
 
@@ -74,16 +74,16 @@
     tmp_path: Path, answer: Callable[[Told], bytes], says: str
 ) -> None:
     async def play() -> None:
-        servers = [Server("a"), Server("b")]
-        async with running(tmp_path, *servers) as (program, discovery):
+        servers = [FakeServer("a"), FakeServer("b")]
+        async with running_balancer(tmp_path, *servers) as (program, discovery):
             discovery.bodies.append(answer(discovery.listing()))
             await discovery.change("a", "Ready")  # a watch that is out already ends with a good answer
-            await program.logged(says)
+            await program.wait_for_log(says)
             for _ in range(4):
-                await program.up()
-            assert servers[0].opened and servers[1].opened, "both are in use"
+                await program.connect()
+            assert servers[0].first_lines and servers[1].first_lines, "both are in use"
             await discovery.change("b", "Terminating")
-            await program.logged("server b draining")  # asked again, and heard
+            await program.wait_for_log("server b draining")  # asked again, and heard
             assert sum("discovery: " in line and "call" not in line for line in program.log) == 1
             assert await program.stop() == 0
             assert "discovery.failed=1" in program.log[-1].split()
@@ -93,18 +93,18 @@
 
 def test_a_refused_answer_is_heard_on_who_leaves_and_asked_again(tmp_path: Path) -> None:
     async def play() -> None:
-        servers = [Server("a"), Server("b")]
-        async with running(tmp_path, *servers) as (program, discovery):
+        servers = [FakeServer("a"), FakeServer("b")]
+        async with running_balancer(tmp_path, *servers) as (program, discovery):
             told = discovery.listing()
             gone = {**told["servers"][1], "state": "Terminating"}
             body = json.dumps({**told, "version": 9, "servers": [told["servers"][0]] * 2 + [gone]}).encode()
             discovery.bodies.append(http(body))
             await discovery.change("a", "Ready")
-            await program.logged("two entries for server a")
-            await program.logged("server b draining")
+            await program.wait_for_log("two entries for server a")
+            await program.wait_for_log("server b draining")
             async with asyncio.timeout(10):
-                while "" not in discovery.asked:  # everything is asked for, after a wait
-                    assert (await program.up()).receipt.startswith(b"UP a-")
+                while "" not in discovery.queries:  # everything is asked for, after a wait
+                    assert (await program.connect()).up_line.startswith(b"UP a-")
                     await asyncio.sleep(0.05)
             assert await program.stop() == 0
             assert "discovery.refused=1" in program.log[-1].split()
@@ -117,8 +117,8 @@
     """Danger: what broke off, never ends or is no JSON has told of the drain all the same."""
 
     async def play() -> None:
-        servers = [Server("a"), Server("b"), Server("c")]
-        async with running(tmp_path, *servers) as (program, discovery):
+        servers = [FakeServer("a"), FakeServer("b"), FakeServer("c")]
+        async with running_balancer(tmp_path, *servers) as (program, discovery):
             discovery.states["b"] = "Terminating"
             body = json.dumps({**discovery.listing(), "version": 9}, indent=4).encode()
             half = body[: body.rindex(b'"id"')]
@@ -136,14 +136,14 @@
                 while discovery.bodies:
                     await asyncio.sleep(0.01)
             async with asyncio.timeout(1.7):  # it was begun, so its end is not waited for as a queue's is
-                await program.logged("server b draining")
-            assert "" not in discovery.asked, "heard from the part"
+                await program.wait_for_log("server b draining")
+            assert "" not in discovery.queries, "heard from the part"
             async with asyncio.timeout(10):
-                while "" not in discovery.asked:  # everything is asked for, in time
+                while "" not in discovery.queries:  # everything is asked for, in time
                     await asyncio.sleep(0.01)
-            while (await program.up()).receipt.startswith(b"UP a-"):
+            while (await program.connect()).up_line.startswith(b"UP a-"):
                 pass  # the others of the last good list stay
-            assert servers[1].opened == []
+            assert servers[1].first_lines == []
 
     asyncio.run(play())
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -12,12 +12,19 @@
 from hypothesis import strategies as st
 
 from switchhub.management import server
-from switchhub.management.calls import CALLS, answer
-from switchhub.management.figures import write
-from switchhub.management.server import AT_ONCE, CALLERS, HEAD_MAX, PAUSE, Caller, Management
+from switchhub.management.endpoints import ENDPOINTS, handle_request
+from switchhub.management.metrics import format_metrics
+from switchhub.management.server import (
+    ACCEPT_BATCH,
+    ACCEPT_INTERVAL_S,
+    HEAD_MAX_BYTES,
+    MAX_CONNECTIONS,
+    ManagementServer,
+    RequestReader,
+)
 from switchhub.net.config import ConfigError
 from switchhub.net.counters import Counters
-from tests.rig import WITHIN
+from tests.harness import TIMEOUT_S
 
 
 class Node:
@@ -30,10 +37,10 @@
     def healthy(self) -> bool:
         return not self.draining
 
-    def condition(self) -> str:
+    def phase_name(self) -> str:
         return "draining" if self.draining else "ready"
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         return "balancer.concurrent:0|g\n"
 
     def drain(self) -> None:
@@ -47,36 +54,36 @@
 
 def test_the_four_calls() -> None:
     node = Node()
-    assert answer(node, "GET", "/healthcheck") == (200, "ready\n", "")
-    assert answer(node, "PUT", "/healthcheck/fail").status == 200
-    assert answer(node, "GET", "/healthcheck").status == 503
-    assert answer(node, "PUT", "/healthcheck/ok").status == 200
-    assert answer(node, "GET", "/healthcheck").status == 200
-    assert answer(node, "GET", "/stats?of=all").text == "balancer.concurrent:0|g\n"
+    assert handle_request(node, "GET", "/healthcheck") == (200, "ready\n", "")
+    assert handle_request(node, "PUT", "/healthcheck/fail").status == 200
+    assert handle_request(node, "GET", "/healthcheck").status == 503
+    assert handle_request(node, "PUT", "/healthcheck/ok").status == 200
+    assert handle_request(node, "GET", "/healthcheck").status == 200
+    assert handle_request(node, "GET", "/stats?of=all").text == "balancer.concurrent:0|g\n"
 
 
 def test_what_can_not_be_carried_out_is_told() -> None:
     node = Node()
     node.stopping = True
-    told = answer(node, "PUT", "/healthcheck/ok")
+    told = handle_request(node, "PUT", "/healthcheck/ok")
     assert told.status == 409 and told.text.count("\n") == 1
-    assert answer(node, "GET", "/nowhere").status == 404
-    assert answer(node, "PUT", "/stats") == (405, "this path takes GET\n", "GET")
-    assert answer(node, "GET", "/healthcheck/fail").allow == "PUT"
+    assert handle_request(node, "GET", "/nowhere").status == 404
+    assert handle_request(node, "PUT", "/stats") == (405, "this path takes GET\n", "GET")
+    assert handle_request(node, "GET", "/healthcheck/fail").allow == "PUT"
     assert node.drains == 0
 
 
 def test_reading_calls_change_nothing() -> None:
     node = Node()
-    for path, calls in CALLS.items():
+    for path, calls in ENDPOINTS.items():
         for method in ("GET", "HEAD", "POST", "DELETE"):
             if method not in calls or method == "GET":
-                answer(node, method, path)
+                handle_request(node, method, path)
     assert node.drains == 0 and not node.draining
 
 
 def fed(data: bytes, size: int = 4096) -> tuple[int, str] | None:
-    caller = Caller(Node())
+    caller = RequestReader(Node())
     for at in range(0, len(data), size):
         told = caller.feed(data[at : at + size])
         if told is not None:
@@ -96,8 +103,8 @@
         (b"POST /stats HTTP/1.1\r\n\r\n", 405),
         (b"OPEN 1 2 c=any\r\n", 400),
         (b"\x16\x03\x01\x00\xff\x00\r\n\r\n", 400),
-        (b"GET /healthcheck HTTP/1.1\r\nX: " + b"x" * 2 * HEAD_MAX, 431),
-        (b"GET /" + b"x" * 2 * HEAD_MAX, 431),
+        (b"GET /healthcheck HTTP/1.1\r\nX: " + b"x" * 2 * HEAD_MAX_BYTES, 431),
+        (b"GET /" + b"x" * 2 * HEAD_MAX_BYTES, 431),
     ],
 )
 def test_each_call_whole_or_in_pieces_gets_its_one_answer(data: bytes, status: int) -> None:
@@ -119,7 +126,7 @@
 async def call(port: int, data: bytes) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
-    async with asyncio.timeout(WITHIN):
+    async with asyncio.timeout(TIMEOUT_S):
         told = await reader.read()
     writer.close()
     return told
@@ -128,25 +135,25 @@
 HEALTH = b"GET /healthcheck HTTP/1.1\r\n\r\n"
 
 
-def port_of(management: Management) -> int:
+def port_of(management: ManagementServer) -> int:
     port: int = management._sock.getsockname()[1]
     return port
 
 
 def test_callers_that_say_nothing_hold_up_nobody_and_are_bounded() -> None:
     async def play() -> None:
-        management = Management(Node(), ("127.0.0.1", 0))
+        management = ManagementServer(Node(), ("127.0.0.1", 0))
         running = asyncio.create_task(management.run())
         port = port_of(management)
-        silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5 * CALLERS)]
+        silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5 * MAX_CONNECTIONS)]
         for _, writer in silent[::2]:
             writer.write(b"GET /health")
         begun = time.monotonic()
         told = await asyncio.gather(*(call(port, HEALTH) for _ in range(20)))
         assert time.monotonic() - begun < 1.0
         assert all(each.startswith(b"HTTP/1.1 200 OK\r\n") for each in told)
-        assert len(management._callers) <= CALLERS
-        async with asyncio.timeout(WITHIN):
+        assert len(management._callers) <= MAX_CONNECTIONS
+        async with asyncio.timeout(TIMEOUT_S):
             assert await silent[0][0].read() == b""  # the longest silent has been given up
         for _, writer in silent:
             writer.close()
@@ -159,7 +166,7 @@
     """Without the pause each of them is taken in and given up as fast as the loop can."""
 
     async def play() -> None:
-        management = Management(Node(), ("127.0.0.1", 0))
+        management = ManagementServer(Node(), ("127.0.0.1", 0))
         running = asyncio.create_task(management.run())
         port = port_of(management)
         taken, take_in = 0, management._take_in
@@ -174,7 +181,7 @@
         callers = [await asyncio.open_connection("127.0.0.1", port) for _ in range(300)]
         while taken < 200:
             await asyncio.sleep(0.005)
-        assert taken <= AT_ONCE * ((time.monotonic() - begun) / PAUSE + 1)
+        assert taken <= ACCEPT_BATCH * ((time.monotonic() - begun) / ACCEPT_INTERVAL_S + 1)
         for _, writer in callers:
             writer.close()
         running.cancel()
@@ -185,10 +192,10 @@
 def test_half_a_call_is_given_up_in_time_and_an_answer_survives_a_body(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "WITHIN", 0.1)
+    monkeypatch.setattr(server, "REQUEST_TIMEOUT_S", 0.1)
 
     async def play() -> None:
-        management = Management(Node(), ("127.0.0.1", 0))
+        management = ManagementServer(Node(), ("127.0.0.1", 0))
         running = asyncio.create_task(management.run())
         port = port_of(management)
         assert await call(port, b"GET /health") == b""
@@ -205,11 +212,11 @@
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         with pytest.raises(ConfigError, match=r"management=127\.0\.0\.1:.*expected"):
-            Management(Node(), taken.getsockname())
+            ManagementServer(Node(), taken.getsockname())
 
 
 def test_figures_are_shown_from_the_start_and_add_up() -> None:
-    assert write(["chat", "pay"], {}, 0, 0, 3, 1).splitlines() == [
+    assert format_metrics(["chat", "pay"], {}, 0, 0, 3, 1).splitlines() == [
         "balancer.replies.chat.success:0|c",
         "balancer.replies.chat.overload:0|c",
         "balancer.replies.chat.error:0|c",
@@ -227,8 +234,8 @@
 def test_success_overload_and_error_add_up_to_what_was_answered(ended: list[tuple[str, str]]) -> None:
     counters = Counters()
     for name, how in ended:
-        counters.answer(name, how)
-    lines = write("ab", counters.answers, 0, 0, 0, 0).splitlines()
+        counters.count_answer(name, how)
+    lines = format_metrics("ab", counters.answers, 0, 0, 0, 0).splitlines()
     figures = {line.split(":")[0]: int(line.split(":")[1].split("|")[0]) for line in lines}
     for name in "ab":
         shown = sum(figures[f"balancer.replies.{name}.{each}"] for each in ("success", "overload", "error"))
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -10,9 +10,9 @@
 import pytest
 
 from switchhub.net.counters import Counters
-from switchhub.net.lines import PATIENCE_AT_NEED, Sockets, Wire
+from switchhub.net.line_socket import PATIENCE_AT_NEED, LineSocket, SocketBudget
 from switchhub.net.listener import CHECK
-from switchhub.net.session import SILENT_AFTER, SILENT_TOO, VANISHED_AFTER, Session
+from switchhub.net.session import SILENCE_TIMEOUT_MS, SILENT_SERVER_TIMEOUT_MS, VANISHED_AFTER, Session
 
 
 class Played:
@@ -23,11 +23,11 @@
         node: Any = SimpleNamespace(
             counters=Counters(),
             clock=lambda: 1000.0,
-            sockets=Sockets(100),
+            sockets=SocketBudget(100),
             loop=asyncio.get_running_loop(),
         )
-        self.session = Session(cast(Any, node), Wire(here, node.sockets))
-        self.session.up = True
+        self.session = Session(cast(Any, node), LineSocket(here, node.sockets))
+        self.session.established = True
         self.session._asked.append(1000.0)
 
     def heard(self) -> bytes:
@@ -60,8 +60,8 @@
 
 
 def test_a_line_that_waits_long_moves_the_client() -> None:
-    assert play(1000.0 + SILENT_AFTER - 1) == b""
-    assert play(1000.0 + SILENT_AFTER + 1) == b"MOVE\r\n"
+    assert play(1000.0 + SILENCE_TIMEOUT_MS - 1) == b""
+    assert play(1000.0 + SILENCE_TIMEOUT_MS + 1) == b"MOVE\r\n"
 
 
 def test_one_that_brings_nothing_back_is_moved_within_seven_seconds_of_its_last_answer() -> None:
@@ -72,13 +72,13 @@
 
 
 def test_sooner_when_the_server_is_silent_to_all() -> None:
-    assert play(1000.0 + SILENT_TOO - 1, server_silent=True) == b""
-    assert play(1000.0 + SILENT_TOO + 1, server_silent=True) == b"MOVE\r\n"
-    assert play(1000.0 + SILENT_AFTER + 1, server_silent=True, asked=False) == b""
+    assert play(1000.0 + SILENT_SERVER_TIMEOUT_MS - 1, server_silent=True) == b""
+    assert play(1000.0 + SILENT_SERVER_TIMEOUT_MS + 1, server_silent=True) == b"MOVE\r\n"
+    assert play(1000.0 + SILENCE_TIMEOUT_MS + 1, server_silent=True, asked=False) == b""
 
 
 def test_a_client_that_takes_nothing_is_not_the_servers_silence() -> None:
-    assert play(1000.0 + SILENT_AFTER + 1, sending=True) == b""
+    assert play(1000.0 + SILENCE_TIMEOUT_MS + 1, sending=True) == b""
 
 
 def test_a_vanished_client_is_given_up() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_session_races.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from switchhub.admission.gate import Verdict
+from switchhub.admission.controller import AdmissionDecision
 from switchhub.net.config import read_config
 from switchhub.net.listener import Listener
 from switchhub.net.session import Session
-from tests.rig import IDS, WITHIN, settings
+from tests.harness import IDS, TIMEOUT_S, settings
 
 
 class Scripted:
@@ -49,7 +49,7 @@
 
     async def _next(self) -> tuple[socket.socket, bytes]:
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             sock, _ = await loop.sock_accept(self.sock)
             line = b""
             while not line.endswith(b"\n") and (more := await loop.sock_recv(sock, 4096)):
@@ -112,7 +112,7 @@
 
     async def ended(self) -> bytes:
         """What the client has heard when its session is over."""
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.task
         try:
             return self.client.recv(4096)
@@ -179,14 +179,14 @@
         discovery = play.node.discovery
         discovery.move(old.sock.getsockname())
         running = asyncio.create_task(discovery.run())
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             sock, _ = await loop.sock_accept(old.sock)
             await loop.sock_recv(sock, 4096)
         gone = {**play.servers["b"].entry(), "state": "Terminating"}
         body = json.dumps({"version": 9, "full": True, "servers": [play.servers["a"].entry(), gone]}).encode()
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         discovery.move(new.sock.getsockname())
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             asks, _ = await loop.sock_accept(new.sock)
             assert (await loop.sock_recv(asks, 4096)).startswith(b"GET /api/targets HTTP/1.1\r\n")
         assert discovery.version == 0 and discovery.ready("b")
@@ -253,7 +253,7 @@
             play.client.shutdown(socket.SHUT_WR)
             return True
 
-        play.node.gate.verdict = lambda now, age, wait: Verdict.WAIT  # type: ignore[method-assign]
+        play.node.gate.decide = lambda now, age, wait: AdmissionDecision.WAIT  # type: ignore[method-assign]
         play.node.turn = turn  # type: ignore[method-assign]
         await play.open()
         assert await play.ended() == (b"ERR\r\n" if said else b"")
@@ -288,7 +288,7 @@
             except BlockingIOError:
                 continue
             sock.setblocking(False)
-            async with asyncio.timeout(WITHIN):
+            async with asyncio.timeout(TIMEOUT_S):
                 assert await asyncio.get_running_loop().sock_recv(sock, 100) == b""
             sock.close()
 
@@ -306,7 +306,7 @@
 
         play.node.facade.pick = seen  # type: ignore[method-assign]
         await play.open(before=at_connect(play, lambda: play.node.discovery._ready.discard(picked[0])))
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             while len(picked) < 2:
                 await asyncio.sleep(0)
         drained, other = (play.servers[name] for name in picked)
@@ -314,7 +314,7 @@
         sock, line = await other.next()
         assert line.startswith(b"OPEN ")
         sock.send(b"UP r-1\r\n")
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             assert await asyncio.get_running_loop().sock_recv(play.client, 100) == b"UP r-1\r\n"
         sock.close()
         await play.ended()
@@ -327,15 +327,15 @@
     """Danger: the wait for the last byte may be ended just after that byte went; unsafe, it may have run."""
 
     async def script(play: Play) -> None:
-        from switchhub.net.lines import Wire
+        from switchhub.net.line_socket import LineSocket
 
-        whole = Wire.send_parts
+        whole = LineSocket.send_parts
 
-        async def late(self: Wire, parts: Any) -> None:
+        async def late(self: LineSocket, parts: Any) -> None:
             await whole(self, parts)
             raise TimeoutError
 
-        Wire.send_parts = late  # type: ignore[method-assign]
+        LineSocket.send_parts = late  # type: ignore[method-assign]
         try:
             await play.open(kind)
             _, other, sock = await play.attempted()
@@ -348,7 +348,7 @@
                 await play.ended()
             sock.close()
         finally:
-            Wire.send_parts = whole  # type: ignore[method-assign]
+            LineSocket.send_parts = whole  # type: ignore[method-assign]
 
     played(tmp_path, script)
 
@@ -446,7 +446,7 @@
 
     async def script(play: Play) -> None:
         running = asyncio.create_task(play.node.run())
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             while not play.node.serving:
                 await asyncio.sleep(0)
             await play.node.pause_accept()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.rig import ROOT
+from tests.harness import ROOT
 
 SITE = """name = "made-up"   # its own
 [load]
