--- a/switchhub/__main__.py
+++ b/switchhub/__main__.py
@@ -42,7 +42,7 @@
     return await HandoverReceiver.find(path, config.listen) if path else None
 
 
-def peers(config: Config) -> PeerNode | None:
+def create_peer_node(config: Config) -> PeerNode | None:
     """This balancer among others, where an operator file says so; else nothing of it is imported."""
     path = os.environ.get("SWITCHHUB_OPERATOR", "")
     if not path:
@@ -101,7 +101,7 @@
         if few < FEWEST:
             raise ConfigError(f"limit on open files {few}: expected {FEWEST} or more")
         config = read_config(os.environ)
-        node = peers(config)
+        node = create_peer_node(config)
     except OSError as error:  # no descriptor for the peers' thread
         print(f"switchhub: can't start: {error}", file=sys.stderr)
         return 2
--- a/switchhub/lifecycle/phase.py
+++ b/switchhub/lifecycle/phase.py
@@ -53,7 +53,7 @@
         return self.phase is Phase.READY
 
     @property
-    def answers_ping(self) -> bool:
+    def accepts_new_clients(self) -> bool:
         """Whether the address may be sent new clients. One that stops goes on taking them for a moment, as
         fronts do not ask it any more; a no is for drains."""
         return self._yielded or (self._begun and not self._drained)
--- a/switchhub/net/session.py
+++ b/switchhub/net/session.py
@@ -319,7 +319,7 @@
                     pings += 1
                     self.client.take(len(line))
                     self._counters.add("pings")
-                    await self.client.send(PONG if self._node.lifecycle.answers_ping else AWAY)
+                    await self.client.send(PONG if self._node.lifecycle.accepts_new_clients else AWAY)
                 else:
                     self._heard = self._clock()
                     return line
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -298,7 +298,7 @@
 
 def test_without_an_operator_file_nothing_of_it_is_imported() -> None:
     code = (
-        "import sys, switchhub.__main__ as m; assert m.peers(None) is None; "
+        "import sys, switchhub.__main__ as m; assert m.create_peer_node(None) is None; "
         "import json; print(json.dumps([n for n in sys.modules if 'switchhub' in n or n == 'msgspec']))"
     )
     environ = {key: value for key, value in os.environ.items() if key != "SWITCHHUB_OPERATOR"}
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -17,11 +17,11 @@
 
 def test_only_a_ready_process_is_healthy() -> None:
     life = Lifecycle()
-    assert not life.healthy and not life.answers_ping
+    assert not life.healthy and not life.accepts_new_clients
     life.begin()
-    assert life.healthy and life.answers_ping
+    assert life.healthy and life.accepts_new_clients
     assert life.drain()
-    assert not life.healthy and not life.answers_ping
+    assert not life.healthy and not life.accepts_new_clients
 
 
 def test_a_second_fail_and_an_ok_without_one_change_nothing() -> None:
@@ -58,20 +58,20 @@
 def test_one_that_stops_says_no_to_ping_only_if_it_was_drained() -> None:
     life = ready()
     life.stop()
-    assert life.answers_ping and not life.healthy
+    assert life.accepts_new_clients and not life.healthy
     drained = ready()
     drained.drain()
     drained.stop()
-    assert not drained.answers_ping
+    assert not drained.accepts_new_clients
 
 
 def test_one_that_gives_way_still_answers_ping_for_its_successor() -> None:
     life = ready()
     assert life.supersede() and not life.supersede()
-    assert life.answers_ping and not life.healthy
+    assert life.accepts_new_clients and not life.healthy
     assert not life.restore()
     life.stop()
-    assert life.answers_ping and not life.healthy and not life.reinstate()
+    assert life.accepts_new_clients and not life.healthy and not life.reinstate()
 
 
 def test_a_successor_that_has_gone_leaves_everything_as_it_was() -> None:
@@ -80,7 +80,7 @@
     assert life.reinstate() and life.healthy
     life.drain()
     life.supersede()
-    assert life.reinstate() and not life.healthy and not life.answers_ping
+    assert life.reinstate() and not life.healthy and not life.accepts_new_clients
     assert life.restore() and life.healthy
 
 
@@ -88,7 +88,7 @@
     life = ready()
     life.supersede()
     assert life.drain() and not life.drain()
-    assert life.answers_ping
+    assert life.accepts_new_clients
 
 
 def test_pace_is_even_and_done_in_time() -> None:
