--- a/switchhub/__main__.py
+++ b/switchhub/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m switchhub`: starts one balancer and stops it; with arguments, a sub-command
+"""`python -m switchhub`: runs one balancer until a signal stops it; with arguments, runs a sub-command
 (`switchhub/cli.py`).
 
-Owns: the process, its signals, its log. Must never: hold state of a connection, or end with standing
-connections untold.
+Responsible for the process, its signal handlers and its log. Keeps no state of connections, and never exits
+before established connections have been told to move.
 """
 
 from __future__ import annotations
@@ -27,12 +27,15 @@
     from switchhub.handover.receiver import HandoverReceiver
     from switchhub.peers.node import PeerNode
 
-FEWEST = RESERVED_DESCRIPTORS + 8  # descriptors with which a balancer can serve anybody
+MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + 8  # file descriptors needed to serve any client at all
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
-async def handover_receiver(config: Config) -> HandoverReceiver | None:
-    """What can be taken over from a process of this balancer that runs already."""
+async def find_handover_receiver(config: Config) -> HandoverReceiver | None:
+    """Returns the receiver for a handover from a running process of this balancer.
+
+    Returns None if there is no such process, or if no management address is configured.
+    """
     if config.management is None:
         return None
     from switchhub.handover.receiver import HandoverReceiver
@@ -43,7 +46,11 @@
 
 
 def create_peer_node(config: Config) -> PeerNode | None:
-    """This balancer among others, where an operator file says so; else nothing of it is imported."""
+    """Returns this balancer's node in the membership, or None if no operator file configures one.
+
+    Without an operator file none of the membership modules is imported. Raises `ConfigError` if a package
+    that they need is not installed.
+    """
     path = os.environ.get("SWITCHHUB_OPERATOR", "")
     if not path:
         return None
@@ -51,25 +58,25 @@
         from switchhub.operator_file import read_operator_file
     except ModuleNotFoundError as error:
         raise ConfigError(
-            f"an operator file needs {error.name}: pip install -r requirements-peers.txt"
+            f"an operator file needs the package {error.name}: pip install -r requirements-peers.txt"
         ) from None
-    told = read_operator_file(Path(path))
-    if told.peers is None:
+    operator_settings = read_operator_file(Path(path))
+    if operator_settings.peers is None:
         return None
     from switchhub.peers.node import PeerNode
 
-    return PeerNode(told.peers, config.name, told.leases)
+    return PeerNode(operator_settings.peers, config.name, operator_settings.leases)
 
 
 async def serve(config: Config, node: PeerNode | None) -> None:
-    """Run one balancer until a signal stops it."""
-    listener = Listener(config, await handover_receiver(config))
+    """Runs one balancer until a signal stops it."""
+    listener = Listener(config, await find_handover_receiver(config))
     if node is not None:
         listener.lifecycle.observers.append(node.on_phase_change)
         listener.pages.update(node.pages())
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, listener.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, listener.stop)
     loop.add_signal_handler(signal.SIGHUP, listener.reload)
     loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counters {}", listener.counters.summary()))
     try:
@@ -80,14 +87,15 @@
 
 
 def main() -> int:
-    """The exit status: 0 after an ordered stop, 2 when the configuration does not serve."""
+    """Returns the exit status: 0 after an orderly stop, 2 if the process cannot start as configured."""
     if len(sys.argv) == 3 and sys.argv[1] == "--operator":
         os.environ["SWITCHHUB_OPERATOR"] = sys.argv[2]
     elif len(sys.argv) > 1:
-        from switchhub.cli import main as command  # a balancer that serves never needs it
+        from switchhub.cli import main as command  # imported here: a serving balancer does not need it
 
         return command(sys.argv[1:])
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes before there is anything to reload
+    # A SIGHUP before the reload handler is installed would end the process.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logger.remove()
     logger.add(
         sys.stderr,
@@ -97,12 +105,12 @@
         diagnose=False,
     )
     try:
-        few = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        if few < FEWEST:
-            raise ConfigError(f"limit on open files {few}: expected {FEWEST} or more")
+        descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        if descriptor_limit < MIN_DESCRIPTORS:
+            raise ConfigError(f"limit on open files {descriptor_limit}: expected {MIN_DESCRIPTORS} or more")
         config = read_config(os.environ)
         node = create_peer_node(config)
-    except OSError as error:  # no descriptor for the peers' thread
+    except OSError as error:  # such as no descriptor left for the membership thread
         print(f"switchhub: can't start: {error}", file=sys.stderr)
         return 2
     except ConfigError as error:
@@ -112,7 +120,7 @@
     gc.freeze()
     try:
         uvloop.run(serve(config, node))
-    except ConfigError as error:  # an address that can't be had
+    except ConfigError as error:  # such as an address that cannot be listened on
         print(f"switchhub: {error}", file=sys.stderr)
         return 2
     return 0
