--- a/switchhub/admission/__init__.py
+++ b/switchhub/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What the balancer does about its own overload."""
+"""Protection of the balancer process against its own overload."""
--- a/switchhub/admission/controller.py
+++ b/switchhub/admission/controller.py
@@ -1,35 +1,35 @@
-"""Whether a request that has come can still be set up in time by this process, and when it may start.
+"""Decides whether an incoming request can still be set up in time by this process, and when it may start.
 
-Owns: the measures of the process's own pace. Must never: do I/O, read a clock, know a protocol, or answer: a
-request that can't be set up in time is told to the module as such, and the answer is the module's.
+Responsible for measuring how fast this process sets up connections. Does no I/O, reads no clock, knows no
+protocol and answers no client: a request that cannot be set up in time is passed on to the decision module,
+marked as late, and that module decides the answer.
 
-Danger: work on everybody at once makes everybody late; what is started for clients that have long given up
-takes the time of those that still wait. So what can't be in time is refused while a refusal is still in
-time and costs little, and the rest starts in its order, a few in each turn of the event loop. Requests that
-wait for a slow server take no turn, so they hold nobody up. Times are milliseconds.
+A process that works on all requests at once finishes all of them late, and set-ups for clients that gave up
+long ago take time from clients that still wait. Therefore a request that cannot be in time is refused early,
+while the refusal is still in time and costs little, and the others start in order of arrival, a few in each
+turn of the event loop. A set-up that waits for a slow server takes up no later turn, so it delays no other
+request. All times are in milliseconds.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-SETUPS_PER_TURN = 8  # set-ups that may begin in one turn of the event loop
-TURN_MS = 2.0  # how long one turn lasts at most where nobody waits
-PROMPT_AGE_MS = (
-    12.0  # age of a first line up to which the process counts as prompt; the kernel counts in steps of 4
-)
-COST, SPENT = 1.0, 8.0  # of a set-up, until it is measured: work, and time from its start to its answer
-MEMORY, QUICK = 1 / 32, 1 / 8  # weight of the newest measure; of work, which a storm changes in a few turns
-COST_MAX = 20.0  # a turn that took longer per set-up was held up by something else
-SLOWEST = 250.0  # set-ups that took longer waited for their server
-SETUP_TIME_FACTOR, SETUP_MARGIN_MS = (
-    1.5,
-    30.0,
-)  # times that a set-up may take its usual time, and what is left over besides
+SETUPS_PER_TURN = 8  # set-ups that may start in one turn of the event loop
+TURN_MS = 2.0  # longest span counted as one turn while no request is queued
+PROMPT_AGE_MS = 12.0  # a first line read later than this is queued; the kernel's ages have steps of 4 ms
+INITIAL_SETUP_COST_MS = 1.0  # work of this process for one set-up, before it is measured
+INITIAL_SETUP_DURATION_MS = 8.0  # time from the start of a set-up to its answer, before it is measured
+SETUP_DURATION_WEIGHT = 1 / 32  # weight of the newest sample in the moving average
+SETUP_COST_WEIGHT = 1 / 8  # larger: in a burst of requests the cost changes within a few turns
+SETUP_COST_MAX_MS = 20.0  # cap on a sample: a turn longer than this per set-up was delayed by other work
+SETUP_DURATION_MAX_MS = 250.0  # longer set-ups waited for their server and are not counted
+SETUP_TIME_FACTOR = 1.5  # multiple of the average duration that is allowed for a set-up
+SETUP_MARGIN_MS = 30.0  # time that must be left besides
 
 
 class AdmissionDecision(Enum):
-    """What becomes of a request now."""
+    """What is done with a request now."""
 
     START = "start"
     WAIT = "wait"
@@ -37,54 +37,59 @@
 
 
 class AdmissionController:
-    """One process's own pace."""
+    """Measures the set-ups of one process and decides on new requests by them.
+
+    `setup_cost` (ms of this process's work) and `setup_duration` (ms from start to answer) are moving
+    averages over recent set-ups. The caller keeps `waiting` up to date.
+    """
 
     def __init__(self) -> None:
-        self.setup_cost, self.setup_duration = COST, SPENT
-        self.waiting = 0  # requests that wait for their turn
-        self._turn_at = 0.0
-        self._begun = 0  # in this turn
-        self._released = 0  # in the last turn of those that waited
+        self.setup_cost, self.setup_duration = INITIAL_SETUP_COST_MS, INITIAL_SETUP_DURATION_MS
+        self.waiting = 0  # queued requests
+        self._turn_started_at = 0.0
+        self._started_in_turn = 0  # set-ups started in the current turn
+        self._released_last_turn = 0  # queued requests released in the last turn
 
     def can_start_now(self, now: float, age: float) -> bool:
-        """Whether a request can start at once: nobody waits, the turn has room, and it was read in time."""
-        if now - self._turn_at > TURN_MS:
-            self._turn_at, self._begun = now, 0
-        return not self.waiting and self._begun < SETUPS_PER_TURN and age < PROMPT_AGE_MS
+        """Whether a request can start at once: none is queued, the turn has room, it was read promptly."""
+        if now - self._turn_started_at > TURN_MS:
+            self._turn_started_at, self._started_in_turn = now, 0
+        return not self.waiting and self._started_in_turn < SETUPS_PER_TURN and age < PROMPT_AGE_MS
 
     def decide(self, now: float, age: float, wait: float) -> AdmissionDecision:
-        """What becomes of a request whose last byte came `age` ago and whose client waits for `wait` in
-        all."""
+        """Decides on a request whose last byte arrived `age` ms ago and whose client waits for `wait`
+        ms in all."""
         if self.can_start_now(now, age):
-            self._begun += 1
+            self._started_in_turn += 1
             return AdmissionDecision.START
         return AdmissionDecision.REFUSE if self.would_be_late(age, wait) else AdmissionDecision.WAIT
 
     def would_be_late(self, age: float, wait: float) -> bool:
-        """Whether its turn would come too late."""
+        """Whether the request, if it were queued now, could not be set up in time."""
         return not self._in_time(age + (self.waiting + 1) * self.setup_cost, wait)
 
-    def latest_start(self, arrived: float, wait: float) -> float:
-        """When a set-up must start at the latest to be in time; past that it is to be refused at once."""
-        return arrived + wait - SETUP_TIME_FACTOR * self.setup_duration - SETUP_MARGIN_MS
+    def latest_start(self, arrived_at: float, wait: float) -> float:
+        """Latest time at which a set-up can start and still be in time; past it the request is refused."""
+        return arrived_at + wait - SETUP_TIME_FACTOR * self.setup_duration - SETUP_MARGIN_MS
 
     def _in_time(self, age: float, wait: float) -> bool:
+        """Whether a set-up that starts when its request is `age` ms old is done within `wait`."""
         return age + SETUP_TIME_FACTOR * self.setup_duration + SETUP_MARGIN_MS <= wait
 
     def next_batch(self, now: float) -> int:
-        """A turn of the loop begins while requests wait: how many of them may start in it."""
-        if self._released:
-            cost = min((now - self._turn_at) / self._released, COST_MAX)
-            self.setup_cost += QUICK * (cost - self.setup_cost)
-        self._turn_at = now
-        self._released = self._begun = min(self.waiting, SETUPS_PER_TURN)
-        return self._begun
+        """Begins a turn of the event loop while requests are queued; returns how many may start in it."""
+        if self._released_last_turn:
+            cost = min((now - self._turn_started_at) / self._released_last_turn, SETUP_COST_MAX_MS)
+            self.setup_cost += SETUP_COST_WEIGHT * (cost - self.setup_cost)
+        self._turn_started_at = now
+        self._released_last_turn = self._started_in_turn = min(self.waiting, SETUPS_PER_TURN)
+        return self._started_in_turn
 
     def queue_emptied(self) -> None:
-        """Nobody waits any more; the next turn may be long after."""
-        self._released = 0
+        """The queue is empty: the time until the next turn says nothing about the cost of a set-up."""
+        self._released_last_turn = 0
 
-    def record_setup(self, spent: float) -> None:
-        """A set-up came up so long after its start."""
-        if spent < SLOWEST:
-            self.setup_duration += MEMORY * (spent - self.setup_duration)
+    def record_setup(self, duration: float) -> None:
+        """Records that a set-up succeeded `duration` ms after its start."""
+        if duration < SETUP_DURATION_MAX_MS:
+            self.setup_duration += SETUP_DURATION_WEIGHT * (duration - self.setup_duration)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,5 @@
-"""The process's own overload: the gate alone, and the real program with more clients than it can set up."""
+"""Overload of the balancer process: the admission controller alone, and the real program with more clients
+than it can set up."""
 
 from __future__ import annotations
 
@@ -27,149 +28,155 @@
 from tests.harness import TIMEOUT_S, FakeServer, running_balancer
 
 
-def test_calm_requests_start_at_once_and_a_turn_holds_so_many() -> None:
-    gate = AdmissionController()
-    verdicts = [gate.decide(100.0, 0.0, 1200.0) for _ in range(SETUPS_PER_TURN + 1)]
-    assert verdicts == [AdmissionDecision.START] * SETUPS_PER_TURN + [AdmissionDecision.WAIT]
-    assert gate.decide(100.0 + TURN_MS + 0.1, 0.0, 1200.0) is AdmissionDecision.START
-    assert gate.decide(200.0, PROMPT_AGE_MS, 1200.0) is AdmissionDecision.WAIT, (
-        "what was read late comes after what waits"
+def test_requests_start_at_once_up_to_the_limit_of_a_turn() -> None:
+    controller = AdmissionController()
+    decisions = [controller.decide(100.0, 0.0, 1200.0) for _ in range(SETUPS_PER_TURN + 1)]
+    assert decisions == [AdmissionDecision.START] * SETUPS_PER_TURN + [AdmissionDecision.WAIT]
+    assert controller.decide(100.0 + TURN_MS + 0.1, 0.0, 1200.0) is AdmissionDecision.START
+    assert controller.decide(200.0, PROMPT_AGE_MS, 1200.0) is AdmissionDecision.WAIT, (
+        "a request that was read late is queued behind those that wait"
     )
 
 
-def test_what_would_come_up_too_late_is_refused_while_that_is_in_time() -> None:
-    gate = AdmissionController()
-    gate.waiting = 100
-    need = 101 * gate.setup_cost + SETUP_TIME_FACTOR * gate.setup_duration + SETUP_MARGIN_MS
-    assert gate.decide(0.0, 0.0, need) is AdmissionDecision.WAIT
-    assert gate.decide(0.0, 1.0, need) is AdmissionDecision.REFUSE
-    assert gate.decide(0.0, 0.0, 60_000.0) is AdmissionDecision.WAIT, "a patient client waits on"
-    assert gate.decide(0.0, 0.0, 50.0) is AdmissionDecision.REFUSE
+def test_a_request_that_would_be_late_is_refused_early() -> None:
+    controller = AdmissionController()
+    controller.waiting = 100
+    required_wait = (
+        101 * controller.setup_cost + SETUP_TIME_FACTOR * controller.setup_duration + SETUP_MARGIN_MS
+    )
+    assert controller.decide(0.0, 0.0, required_wait) is AdmissionDecision.WAIT
+    assert controller.decide(0.0, 1.0, required_wait) is AdmissionDecision.REFUSE
+    assert controller.decide(0.0, 0.0, 60_000.0) is AdmissionDecision.WAIT, "its client waits long enough"
+    assert controller.decide(0.0, 0.0, 50.0) is AdmissionDecision.REFUSE
 
 
-def test_the_pace_is_learnt_in_a_few_turns_and_no_pause_counts() -> None:
-    gate = AdmissionController()
-    gate.waiting = 1000
+def test_setup_cost_is_learnt_within_a_few_turns_and_ignores_idle_time() -> None:
+    controller = AdmissionController()
+    controller.waiting = 1000
     now = 0.0
     for _ in range(60):
         now += 4.0 * SETUPS_PER_TURN
-        assert gate.next_batch(now) == SETUPS_PER_TURN
-    assert 3.9 < gate.setup_cost < 4.1
-    gate.queue_emptied()
-    gate.next_batch(now + 60_000.0)
-    assert 3.9 < gate.setup_cost < 4.1, "nobody waited meanwhile"
-    gate.record_setup(10_000.0)
-    assert gate.setup_duration < 10.0, "a slow server says nothing of this process"
+        assert controller.next_batch(now) == SETUPS_PER_TURN
+    assert 3.9 < controller.setup_cost < 4.1
+    controller.queue_emptied()
+    controller.next_batch(now + 60_000.0)
+    assert 3.9 < controller.setup_cost < 4.1, "no request was queued meanwhile"
+    controller.record_setup(10_000.0)
+    assert controller.setup_duration < 10.0, "a slow server says nothing about this process"
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 50), st.floats(0, 100), st.floats(20, 60_000)), max_size=60))
-def test_nobody_is_let_in_who_can_not_be_in_time(drawn: list[tuple[float, float, float]]) -> None:
-    gate, now = AdmissionController(), 0.0
-    for pause, age, wait in drawn:
+def test_no_request_is_queued_that_can_not_be_in_time(requests: list[tuple[float, float, float]]) -> None:
+    controller, now = AdmissionController(), 0.0
+    for pause, age, client_wait in requests:
         now += pause
-        verdict = gate.decide(now, age, wait)
-        if verdict is AdmissionDecision.WAIT:
-            assert gate.latest_start(now - age, wait) >= now + gate.waiting * gate.setup_cost
-            gate.waiting += 1
+        decision = controller.decide(now, age, client_wait)
+        if decision is AdmissionDecision.WAIT:
+            assert (
+                controller.latest_start(now - age, client_wait)
+                >= now + controller.waiting * controller.setup_cost
+            )
+            controller.waiting += 1
 
 
-def test_the_module_refuses_what_is_late_and_sends_it_nowhere() -> None:
+def test_the_decision_module_refuses_a_late_request_without_an_attempt() -> None:
     facade = Facade(make_settings(), 1, 1000.0)
     facade.report(1000.0, ServerList(ServerListKind.WHOLE, (make_server("a"),)))
     assert facade.pick(1000.0, Request("r", 0, 900.0, late=True)) == Refused(0.0)
     assert facade._balancer.sums() == {"a": 0}
 
 
-def test_the_age_of_what_lies_unread_is_the_kernels() -> None:
+def test_the_age_of_unread_bytes_is_the_kernels() -> None:
     listening = socket.create_server(("127.0.0.1", 0))
     client = socket.create_connection(listening.getsockname())
     client.send(b"OPEN")
-    time.sleep(0.1)  # in the backlog
+    time.sleep(0.1)  # the connection waits in the backlog
     sock, _ = listening.accept()
-    wire = LineSocket(sock, SocketBudget(100))
-    age, trip = wire.receive_timing()
-    assert 95.0 <= age < 5000.0 and 0.0 < trip < 50.0
-    assert wire.read_available() == 4
+    line_socket = LineSocket(sock, SocketBudget(100))
+    age, round_trip = line_socket.receive_timing()
+    assert 95.0 <= age < 5000.0 and 0.0 < round_trip < 50.0
+    assert line_socket.read_available() == 4
     client.send(b" ")
-    while not wire.read_available():
+    while not line_socket.read_available():
         pass
-    assert wire.receive_timing()[0] < 90.0, "the last byte's"
-    wire.close()
-    assert wire.receive_timing() == (0.0, 0.0)
+    assert line_socket.receive_timing()[0] < 90.0, "the age is the last byte's"
+    line_socket.close()
+    assert line_socket.receive_timing() == (0.0, 0.0)
     client.close()
     listening.close()
 
 
-def test_a_process_that_stood_still_answers_in_time_or_not_at_all(tmp_path: Path) -> None:
-    """Stopped for longer than its clients wait, it serves none of those that have given up meanwhile."""
+def test_a_process_that_was_stopped_serves_only_clients_that_still_wait(tmp_path: Path) -> None:
+    """The process is stopped for longer than some clients wait: it sets up no connection for those."""
 
     async def run() -> None:
-        one = FakeServer("a")
-        async with running_balancer(tmp_path, one) as (program, _):
+        server = FakeServer("a")
+        async with running_balancer(tmp_path, server) as (program, _):
             program.process.send_signal(signal.SIGSTOP)
-            gone = [await program.open(wait=300) for _ in range(40)]
+            impatient = [await program.open(wait=300) for _ in range(40)]
             patient = [await program.open(wait=20_000) for _ in range(20)]
-            await asyncio.sleep(0.8)  # the time that they wait, by the clock
+            await asyncio.sleep(0.8)  # longer than the impatient clients wait
             program.process.send_signal(signal.SIGCONT)
-            heard = [await each.read_line() for each in gone]
-            assert not any(line.startswith(b"UP") for line in heard)
-            served = [await each.read_line() for each in patient]
+            answers = [await client.read_line() for client in impatient]
+            assert not any(line.startswith(b"UP") for line in answers)
+            served = [await client.read_line() for client in patient]
             assert all(line.startswith(b"UP") for line in served)
-            assert len(one.first_lines) == 20, "no server for those that had given up"
+            assert len(server.first_lines) == 20, "no attempt for clients that had given up"
 
     asyncio.run(run())
 
 
-def test_a_burst_is_answered_in_time_and_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_a_burst_is_answered_in_time_and_later_requests_are_served(tmp_path: Path) -> None:
     async def run() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), FakeServer("b"), sockets=4096) as (program, _):
             clients = await asyncio.gather(*(program.open(wait=1000) for _ in range(600)))
-            begin = asyncio.get_running_loop().time()
-            heard = await asyncio.gather(*(each.read_line() for each in clients))
-            assert asyncio.get_running_loop().time() - begin < 5.0
-            kinds = {line.split(b" ")[0].strip() for line in heard}
+            started_at = asyncio.get_running_loop().time()
+            answers = await asyncio.gather(*(client.read_line() for client in clients))
+            assert asyncio.get_running_loop().time() - started_at < 5.0
+            kinds = {line.split(b" ")[0].strip() for line in answers}
             assert kinds <= {b"UP", b"BUSY"}
-            assert sum(line.startswith(b"UP") for line in heard) > 20
+            assert sum(line.startswith(b"UP") for line in answers) > 20
             for client in clients:
                 client.writer.close()
             await asyncio.sleep(0)
-            in_a_row = 0
-            async with asyncio.timeout(TIMEOUT_S):  # a server that was late itself is set aside for a moment
-                while in_a_row < 20:
+            served_in_a_row = 0
+            # A server that was late itself is ejected for a short time.
+            async with asyncio.timeout(TIMEOUT_S):
+                while served_in_a_row < 20:
                     line = await (await program.open()).read_line()
-                    in_a_row = in_a_row + 1 if line.startswith(b"UP") else 0
+                    served_in_a_row = served_in_a_row + 1 if line.startswith(b"UP") else 0
 
     asyncio.run(run())
 
 
-def test_a_stop_in_a_burst_answers_everybody(tmp_path: Path) -> None:
-    """Patient clients wait for their turn when the stop begins; each is still answered or moved."""
+def test_a_stop_in_a_burst_answers_every_client(tmp_path: Path) -> None:
+    """Requests are still queued when the stop begins; each client is still answered, or moved."""
 
     async def run() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), FakeServer("b"), sockets=4096) as (program, _):
             clients = await asyncio.gather(*(program.open(wait=20_000) for _ in range(500)))
             program.process.send_signal(signal.SIGTERM)
-            heard = await asyncio.gather(*(each.read_to_end() for each in clients))
-            lines = [each.split(b"\r\n") for each in heard]
-            assert all(each[0].split(b" ")[0] in (b"UP", b"BUSY", b"FAILED") for each in lines)
-            assert all(each[1] == b"MOVE" for each in lines if each[0].startswith(b"UP"))
+            received = await asyncio.gather(*(client.read_to_end() for client in clients))
+            client_lines = [data.split(b"\r\n") for data in received]
+            assert all(lines[0].split(b" ")[0] in (b"UP", b"BUSY", b"FAILED") for lines in client_lines)
+            assert all(lines[1] == b"MOVE" for lines in client_lines if lines[0].startswith(b"UP"))
             assert await program.stop() == 0
 
     asyncio.run(run())
 
 
-def test_who_leaves_while_waiting_takes_no_server(tmp_path: Path) -> None:
+def test_a_client_that_leaves_while_queued_causes_no_attempt(tmp_path: Path) -> None:
     async def run() -> None:
-        one = FakeServer("a")
-        async with running_balancer(tmp_path, one, sockets=4096) as (program, _):
+        server = FakeServer("a")
+        async with running_balancer(tmp_path, server, sockets=4096) as (program, _):
             program.process.send_signal(signal.SIGSTOP)
             clients = [await program.open(wait=20_000) for _ in range(100)]
             for client in clients:
                 client.writer.close()
-            await asyncio.gather(*(each.writer.wait_closed() for each in clients))
+            await asyncio.gather(*(client.writer.wait_closed() for client in clients))
             program.process.send_signal(signal.SIGCONT)
             assert (await (await program.open()).read_line()).startswith(b"UP")
-            assert len(one.first_lines) <= 1 + SETUPS_PER_TURN, "no more than one turn's"
+            assert len(server.first_lines) <= 1 + SETUPS_PER_TURN, "at most one turn of set-ups"
 
     asyncio.run(run())
