--- a/switchhub/lifecycle/__init__.py
+++ b/switchhub/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""What this process is, and how it gives its connections away."""
+"""The phase that this process is in, and the pacing of moves of its connections."""
--- a/switchhub/lifecycle/move_pacer.py
+++ b/switchhub/lifecycle/move_pacer.py
@@ -1,29 +1,31 @@
-"""How many standing connections are to be moved now, so that all are by a given moment.
+"""Computes how many established connections to move now, so that all have been moved by a given moment.
 
-Owns: one count of moves that are due. Must never: do I/O, read a clock, or choose whom to move.
+Responsible for the count of moves that are due. Does no I/O, reads no clock and does not choose which
+connections move.
 
-Danger: everybody moved at once comes back at once, to the same few servers, each of which pays for every
-set-up; everybody moved at the last moment is cut off if this process is late. Times are seconds.
+Moves are spread out because clients that are all moved at once all reconnect at once, to the same few
+servers, each of which pays for every set-up; and clients that are all moved at the last moment are cut off if
+this process is late. All times are in seconds.
 """
 
 from __future__ import annotations
 
 
 class MovePacer:
-    """Moves spread evenly between two moments; after the second, whoever still comes up goes at once."""
+    """Spreads moves evenly over an interval; connections that are established after its end move at once."""
 
-    def __init__(self, begins: float, ends: float) -> None:
-        self._last, self._ends = begins, ends
-        self._credit = 0.0
+    def __init__(self, starts_at: float, ends_at: float) -> None:
+        self._counted_until, self._ends_at = starts_at, ends_at
+        self._credit = 0.0  # moves due, with the fraction carried over to the next call
 
-    def due(self, now: float, standing: int) -> int:
-        """How many of so many that stand are to be moved now."""
-        if now >= self._ends:
-            return standing
-        if now <= self._last:
+    def due(self, now: float, established: int) -> int:
+        """Returns how many of the `established` connections are to be moved now."""
+        if now >= self._ends_at:
+            return established
+        if now <= self._counted_until:
             return 0
-        self._credit += standing * (now - self._last) / (self._ends - self._last)
-        self._last = now
-        due = min(int(self._credit), standing)
+        self._credit += established * (now - self._counted_until) / (self._ends_at - self._counted_until)
+        self._counted_until = now
+        due = min(int(self._credit), established)
         self._credit -= due
         return due
--- a/switchhub/lifecycle/phase.py
+++ b/switchhub/lifecycle/phase.py
@@ -1,14 +1,15 @@
-"""What this process is now: starting, ready, draining, stopping or giving way to a new version.
+"""The phase of this process: starting, ready, draining, superseded by a new process, or stopping.
 
-Owns: that one fact. Must never: do I/O, read a clock, or be kept a second time somewhere else: `PING`, the
-health check, the listener and the stop ask here.
+Responsible for this one fact, which is kept nowhere else: `PING`, the health check, the listener and the stop
+all read it here. Does no I/O and reads no clock.
 
-    starting -> ready <-> draining           by `begin`, `drain`, `restore`
-    any of these -> giving way -> stopping   by `supersede`, `stop`; nothing leads back from stopping
+    starting -> ready <-> draining            by `begin`, `drain`, `restore`
+    any of these -> superseded -> stopping    by `supersede`, `stop`; no phase follows stopping
 
-Giving way is taken back by `reinstate` when the new process turns out to be gone before this one was told to
-stop. A process that gave way says yes to `PING`, for the clients' address is the new process's by then and a
-no would close it; its own health check says no, and `ok` can't bring it back.
+`reinstate` undoes `supersede` when the new process turns out to be gone before this one was told to stop. A
+superseded process answers `PING` with yes: the clients' address belongs to the new process by then, and a no
+would take the address out of service. Its own health check says no, and a management call to
+`/healthcheck/ok` does not change that.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class Phase(Enum):
-    """What a process is."""
+    """Phase of a process; the value is its name in health checks and in the log."""
 
     STARTING = "starting"
     READY = "ready"
@@ -28,24 +29,24 @@
 
 
 class Lifecycle:
-    """The state machine."""
+    """State machine of a process's phase."""
 
     def __init__(self) -> None:
-        self.observers: list[Callable[[Phase], None]] = []  # told of each change; they may not wait
+        self.observers: list[Callable[[Phase], None]] = []  # called on each change of phase; must not block
         self._phase = Phase.STARTING
-        self._begun = self._drained = self._yielded = False
+        self._started = self._drain_requested = self._superseded = False
 
     @property
     def phase(self) -> Phase:
-        """What it is."""
+        """The current phase."""
         return self._phase
 
     @phase.setter
     def phase(self, phase: Phase) -> None:
         if phase is not self._phase:
             self._phase = phase
-            for follower in self.observers:
-                follower(phase)
+            for observer in self.observers:
+                observer(phase)
 
     @property
     def healthy(self) -> bool:
@@ -54,53 +55,59 @@
 
     @property
     def accepts_new_clients(self) -> bool:
-        """Whether the address may be sent new clients. One that stops goes on taking them for a moment, as
-        fronts do not ask it any more; a no is for drains."""
-        return self._yielded or (self._begun and not self._drained)
+        """Whether `PING` is answered with yes: new clients may be sent to the address.
+
+        A stopping process still says yes unless a drain was requested: the load balancers in front no
+        longer ask it, and it goes on accepting clients for a short time. Only a drain makes the answer no.
+        """
+        return self._superseded or (self._started and not self._drain_requested)
 
     @property
     def stopping(self) -> bool:
-        """Whether nothing leads back."""
+        """Whether this process is stopping, which is final."""
         return self.phase is Phase.STOPPING
 
     def begin(self) -> None:
-        """It serves from now on, unless it was told to drain before."""
-        self._begun = True
+        """Records that the process serves from now on; it becomes ready unless a drain was requested."""
+        self._started = True
         if self.phase is Phase.STARTING:
             self.phase = Phase.READY
 
     def drain(self) -> bool:
-        """Told to drain; whether that is new."""
-        if self._drained or self.phase is Phase.STOPPING:
+        """Requests a drain. Returns False if one was requested already or the process is stopping."""
+        if self._drain_requested or self.phase is Phase.STOPPING:
             return False
-        self._drained = True
+        self._drain_requested = True
         if self.phase is not Phase.SUPERSEDED:
             self.phase = Phase.DRAINING
         return True
 
     def restore(self) -> bool:
-        """Told to go back to work; whether it can: not while it stops or another process serves."""
+        """Cancels a drain, if there is one. Returns False if the process is superseded or stopping."""
         if self.phase in (Phase.SUPERSEDED, Phase.STOPPING):
             return False
-        self._drained = False
-        self.phase = Phase.READY if self._begun else Phase.STARTING
+        self._drain_requested = False
+        self.phase = Phase.READY if self._started else Phase.STARTING
         return True
 
     def supersede(self) -> bool:
-        """A new process serves the address now; whether that can be."""
+        """Records that a new process serves the address. Returns False if superseded already or stopping."""
         if self.phase in (Phase.SUPERSEDED, Phase.STOPPING):
             return False
-        self.phase, self._yielded = Phase.SUPERSEDED, True
+        self.phase, self._superseded = Phase.SUPERSEDED, True
         return True
 
     def reinstate(self) -> bool:
-        """The new process has gone; whether this one is what it was before."""
-        self._yielded = False
+        """Records that the new process is gone, and goes back to draining or ready.
+
+        Returns False if the process is stopping.
+        """
+        self._superseded = False
         if self.phase is Phase.STOPPING:
             return False
-        self.phase = Phase.DRAINING if self._drained else Phase.READY
+        self.phase = Phase.DRAINING if self._drain_requested else Phase.READY
         return True
 
     def stop(self) -> None:
-        """It ends."""
+        """Records that the process is stopping."""
         self.phase = Phase.STOPPING
