--- a/switchhub/management/__init__.py
+++ b/switchhub/management/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of the operators' staff, and the figures they read."""
+"""HTTP interface for operators: health check, drain, and metrics."""
--- a/switchhub/management/endpoints.py
+++ b/switchhub/management/endpoints.py
@@ -1,7 +1,8 @@
-"""A call of the operators' staff in, an answer out.
+"""Routes a management request to its handler and returns the response.
 
-Owns: the table of calls. Must never: do I/O, wait, or keep what the lifecycle keeps. `/healthcheck` and
-`/stats` change nothing, however often they are called; a second `fail` or `ok` is a yes that changes nothing.
+Responsible for the table of endpoints. Does no I/O, does not wait, and keeps no state: the phase is the
+lifecycle's. `/healthcheck` and `/stats` change nothing, however often they are requested; a repeated `fail`
+or `ok` succeeds and changes nothing.
 """
 
 from __future__ import annotations
@@ -13,59 +14,59 @@
 
 
 class ManagedBalancer(Protocol):
-    """What is asked of a balancer here."""
+    """What the endpoints need from a balancer."""
 
     @property
     def pages(self) -> Mapping[str, PageHandler]:
-        """Further paths: method and query in, status and text out. `GET` changes nothing."""
+        """Handlers of further paths: method and query to status and text. A `GET` must change nothing."""
 
     def healthy(self) -> bool:
         """Whether this process is ready to serve."""
 
     def phase_name(self) -> str:
-        """What it is, in a word or two."""
+        """Name of the current phase."""
 
     def metrics(self) -> str:
-        """The figures, in the operators' form."""
+        """The metrics, as the operators' monitoring reads them."""
 
     def drain(self) -> None:
-        """Turn new clients away and move those that stand; a second call changes nothing."""
+        """Starts a drain: turns new clients away and moves connections. A repeated call changes nothing."""
 
     def restore(self) -> bool:
-        """Back to work; whether that can be."""
+        """Cancels a drain. Returns False if the process cannot go back to serving."""
 
 
 class Response(NamedTuple):
-    """What the caller hears."""
+    """HTTP response: status, body text, and the allowed methods if the method was not allowed."""
 
     status: int
     text: str
     allow: str = ""
 
 
-_Call = Callable[[ManagedBalancer], Response]
+_Handler = Callable[[ManagedBalancer], Response]
 
 
-def _health(node: ManagedBalancer) -> Response:
-    return Response(200 if node.healthy() else 503, f"{node.phase_name()}\n")
+def _health(balancer: ManagedBalancer) -> Response:
+    return Response(200 if balancer.healthy() else 503, f"{balancer.phase_name()}\n")
 
 
-def _stats(node: ManagedBalancer) -> Response:
-    return Response(200, node.metrics())
+def _stats(balancer: ManagedBalancer) -> Response:
+    return Response(200, balancer.metrics())
 
 
-def _fail(node: ManagedBalancer) -> Response:
-    node.drain()
-    return Response(200, f"{node.phase_name()}\n")
+def _fail(balancer: ManagedBalancer) -> Response:
+    balancer.drain()
+    return Response(200, f"{balancer.phase_name()}\n")
 
 
-def _ok(node: ManagedBalancer) -> Response:
-    if node.restore():
-        return Response(200, f"{node.phase_name()}\n")
-    return Response(409, f"can't go back to work: {node.phase_name()}\n")
+def _ok(balancer: ManagedBalancer) -> Response:
+    if balancer.restore():
+        return Response(200, f"{balancer.phase_name()}\n")
+    return Response(409, f"can't go back to serving: {balancer.phase_name()}\n")
 
 
-ENDPOINTS: dict[str, dict[str, _Call]] = {
+ENDPOINTS: dict[str, dict[str, _Handler]] = {
     "/healthcheck": {"GET": _health},
     "/stats": {"GET": _stats},
     "/healthcheck/fail": {"PUT": _fail},
@@ -73,16 +74,16 @@
 }
 
 
-def handle_request(node: ManagedBalancer, method: str, target: str) -> Response:
-    """What becomes of this call; a query behind the path is passed over."""
+def handle_request(balancer: ManagedBalancer, method: str, target: str) -> Response:
+    """Returns the response to a request; the endpoints of this module ignore the query in `target`."""
     path, _, query = target.partition("?")
-    calls = ENDPOINTS.get(path)
-    if calls is None and path in node.pages:
-        return Response(*node.pages[path](method, query))
-    if calls is None:
-        return Response(404, f"no such path; there are {', '.join([*ENDPOINTS, *node.pages])}\n")
-    call = calls.get(method)
-    if call is None:
-        allow = ", ".join(calls)
+    handlers = ENDPOINTS.get(path)
+    if handlers is None and path in balancer.pages:
+        return Response(*balancer.pages[path](method, query))
+    if handlers is None:
+        return Response(404, f"no such path; there are {', '.join([*ENDPOINTS, *balancer.pages])}\n")
+    handler = handlers.get(method)
+    if handler is None:
+        allow = ", ".join(handlers)
         return Response(405, f"this path takes {allow}\n", allow)
-    return call(node)
+    return handler(balancer)
--- a/switchhub/management/metrics.py
+++ b/switchhub/management/metrics.py
@@ -1,14 +1,14 @@
-"""The figures, as lines of `name:value|kind`.
+"""Formats the metrics as lines of `name:value|kind`, where the kind is `c` (counter) or `g` (gauge).
 
-Owns: their names and order. Must never: count; what is counted lies in `net.counters`, of which this is one
-reading and the line on `SIGUSR1` another.
+Responsible for the names of the metrics and their order. Counts nothing: the numbers are kept in
+`net.counters`, which the log line on `SIGUSR1` prints as well.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
-OUTCOMES = {  # how a request ended, as it is counted, and what the operators call it
+OUTCOMES = {  # how a request ended, as `net.counters` names it, to its name in the metrics
     "served": "success",
     "refused": "overload",
     "failed": "error",
@@ -24,7 +24,7 @@
     targets: int,
     disabled: int,
 ) -> str:
-    """All figures; `answers` counts final answers by class and by how the request ended."""
+    """Returns all metrics as text; `answers` counts final answers by class and by how the request ended."""
     lines = []
     for name in classes:
         totals = dict.fromkeys(OUTCOMES.values(), 0)
--- a/switchhub/management/server.py
+++ b/switchhub/management/server.py
@@ -1,16 +1,17 @@
-"""The sockets behind the management address.
+"""HTTP server on the management address.
 
-Owns: the listening socket there and every caller's. Must never: decide anything (`endpoints` does), wait on a
-client, a server or discovery, or let one caller stand in another's way.
+Responsible for the listening socket and the accepted connections. Decides nothing about a request
+(`endpoints` does), waits for no client, server or discovery, and lets no connection delay another.
 
-One call to a connection. A call is answered as soon as its head is whole, in the turn of the loop that read
-it; what follows the head is read and forgotten for a moment, so that the answer is not lost to a reset.
+Each connection carries one request. The response is sent as soon as the request's head is complete, in the
+same turn of the event loop; bytes after the head are then read and discarded for a short time, because
+closing a socket with unread bytes resets the connection and the response could be lost.
 
-Danger: callers that say nothing hold a descriptor each. They get so long, and at most so many are held; over
-that the one that has been silent longest goes. Clients and servers can't use up these descriptors: they are
-set apart at the start (`RESERVED_DESCRIPTORS`). And callers that come again as soon as they are given up
-would eat the core: so many are taken in at once, then the others have their turn; a full backlog is still
-done in under a second.
+Idle connections each hold a file descriptor. They are closed after `REQUEST_TIMEOUT_S`, and at most
+`MAX_CONNECTIONS` are open: when a further one is accepted, the oldest is closed. Clients and servers cannot
+use up these descriptors, which are reserved at the start (`RESERVED_DESCRIPTORS`). Callers that reconnect as
+soon as they are closed would keep the CPU busy, so only `ACCEPT_BATCH` connections are accepted per
+`ACCEPT_INTERVAL_S`; a full backlog is still accepted in under a second.
 """
 
 from __future__ import annotations
@@ -26,83 +27,80 @@
 from switchhub.management.endpoints import ManagedBalancer, Response, handle_request
 from switchhub.net.config import Address, ConfigError
 
-MAX_CONNECTIONS = 48  # that are held at a time
-ACCEPT_BATCH, ACCEPT_INTERVAL_S = (
-    32,
-    0.01,
-)  # callers taken in within so many seconds at most: a silent one has 15 ms at least
-RESERVED_DESCRIPTORS = (
-    MAX_CONNECTIONS + 8
-)  # descriptors set apart: the callers, the listening socket, one being accepted
-BACKLOG = 512
-REQUEST_TIMEOUT_S = 6.0  # seconds in which a call must be whole
-READ_ON = 0.5  # seconds in which what follows the answered head is read and forgotten
-HEAD_MAX_BYTES, BODY_MAX = 8192, 65536  # bytes
-PIECE = 4096
-NO_DESCRIPTORS = 0.02  # seconds to wait when a caller can't be accepted
-_SINK = memoryview(bytearray(PIECE))  # what nobody wants to read; what is wanted has a buffer of its own
-
-
-class _Head:
-    """Collects one call's head."""
+MAX_CONNECTIONS = 48  # connections open at a time
+ACCEPT_BATCH = 32  # connections accepted per interval; an idle one stays open for 15 ms at least
+ACCEPT_INTERVAL_S = 0.01
+RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 8  # the connections, the listening socket, one being accepted
+LISTEN_BACKLOG = 512  # connections
+REQUEST_TIMEOUT_S = 6.0  # time within which a request's head must be complete
+DISCARD_TIMEOUT_S = 0.5  # how long bytes after an answered head are read and discarded
+HEAD_MAX_BYTES = 8192
+DISCARD_MAX_BYTES = 65536  # bytes after an answered head that are read and discarded
+READ_SIZE_BYTES = 4096
+ACCEPT_RETRY_S = 0.02  # pause after accept failed, for example for lack of descriptors
+_DISCARD_BUFFER = memoryview(bytearray(READ_SIZE_BYTES))  # shared: its content is never read
+
+
+class _RequestHead:
+    """Parser callbacks that collect one request's target and whether its head is complete."""
 
     def __init__(self) -> None:
         self.target = b""
-        self.whole = False
+        self.complete = False
 
     def on_url(self, url: bytes) -> None:
         self.target += url
 
     def on_headers_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
 
 class RequestReader:
-    """One call, fed with bytes until there is an answer."""
+    """Parses one request from the bytes received, until there is a response."""
 
-    def __init__(self, node: ManagedBalancer) -> None:
-        self._node = node
-        self._head = _Head()
+    def __init__(self, balancer: ManagedBalancer) -> None:
+        self._balancer = balancer
+        self._head = _RequestHead()
         self._parser = httptools.HttpRequestParser(self._head)
-        self._read = 0
+        self._bytes_read = 0
 
     def feed(self, data: bytes) -> Response | None:
-        """The answer, once the head is whole or can't be one."""
-        self._read += len(data)
+        """Returns the response once the head is complete, malformed or too long; until then None."""
+        self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # answered as any other call; the caller may not change the protocol
+            pass  # answered like any other request, without a change of protocol
         except httptools.HttpParserError as error:
-            if not self._head.whole:
-                return Response(400, f"not a call: {error}\n")
-        if self._head.whole:
-            return handle_request(self._node, *self._line())
-        return Response(431, "the call's head is too long\n") if self._read > HEAD_MAX_BYTES else None
+            if not self._head.complete:
+                return Response(400, f"malformed HTTP request: {error}\n")
+        if self._head.complete:
+            return handle_request(self._balancer, *self._method_and_target())
+        return Response(431, "request head too long\n") if self._bytes_read > HEAD_MAX_BYTES else None
 
-    def _line(self) -> tuple[str, str]:
+    def _method_and_target(self) -> tuple[str, str]:
         return self._parser.get_method().decode("latin-1"), self._head.target.decode("latin-1")
 
 
-def write(told: Response) -> bytes:
-    """The answer on the wire."""
-    body = told.text.encode()
-    allow = f"Allow: {told.allow}\r\n" if told.allow else ""
+def encode_response(response: Response) -> bytes:
+    """Returns the response as HTTP/1.1 bytes."""
+    body = response.text.encode()
+    allow = f"Allow: {response.allow}\r\n" if response.allow else ""
     return (
-        f"HTTP/1.1 {told.status} {HTTPStatus(told.status).phrase}\r\n"
+        f"HTTP/1.1 {response.status} {HTTPStatus(response.status).phrase}\r\n"
         f"Content-Type: text/plain; charset=utf-8\r\n{allow}"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     ).encode() + body
 
 
-def bound(address: Address) -> socket.socket:
-    """The management address, or `ConfigError`."""
+def open_listening_socket(address: Address) -> socket.socket:
+    """Returns a socket listening on the management address; raises `ConfigError` if that fails."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
         sock.bind(address)
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
     except (OSError, OverflowError) as error:
         sock.close()
         text = f"management={address[0]}:{address[1]}: expected an address that can be listened on: {error}"
@@ -111,16 +109,17 @@
 
 
 class ManagementServer:
-    """The calls of one balancer."""
+    """Accepts the management connections of one balancer and answers their requests."""
 
-    def __init__(self, node: ManagedBalancer, address: Address) -> None:
-        self._node = node
-        self._sock = bound(address)
-        self._callers: dict[asyncio.Task[None], None] = {}  # the longest silent first
-        self._since, self._taken = 0.0, 0  # callers taken in since then
+    def __init__(self, balancer: ManagedBalancer, address: Address) -> None:
+        self._balancer = balancer
+        self._sock = open_listening_socket(address)
+        self._connections: dict[asyncio.Task[None], None] = {}  # one task for each, oldest first
+        # Start of the current accept interval, on the loop's clock, and connections accepted in it.
+        self._interval_started_at, self._accepted_in_interval = 0.0, 0
 
     async def run(self) -> None:
-        """Answer until cancelled."""
+        """Accepts connections and answers their requests until cancelled."""
         logger.info("management on {}:{}", *self._sock.getsockname())
         loop = asyncio.get_running_loop()
         try:
@@ -128,72 +127,79 @@
                 try:
                     sock, _ = await loop.sock_accept(self._sock)
                     while True:
-                        self._take_in(sock)
-                        if (wait := self._pause(loop.time())) > 0:
-                            await asyncio.sleep(wait)
+                        self._add_connection(sock)
+                        if (pause_s := self._accept_pause(loop.time())) > 0:
+                            await asyncio.sleep(pause_s)
                         sock, _ = self._sock.accept()
                 except BlockingIOError:
                     pass
                 except OSError as error:
-                    logger.warning("management: {}", error)
-                    await asyncio.sleep(NO_DESCRIPTORS)
+                    logger.warning("management: accepting a connection failed, trying again: {}", error)
+                    await asyncio.sleep(ACCEPT_RETRY_S)
         finally:
-            for task in self._callers:
+            for task in self._connections:
                 task.cancel()
             self._sock.close()
 
-    def _pause(self, now: float) -> float:
-        """Another was taken in; for how long nobody else is."""
-        if now - self._since >= ACCEPT_INTERVAL_S:
-            self._since, self._taken = now, 0
-        self._taken += 1
-        return self._since + ACCEPT_INTERVAL_S - now if self._taken >= ACCEPT_BATCH else 0.0
-
-    def _take_in(self, sock: socket.socket) -> None:
+    def _accept_pause(self, now: float) -> float:
+        """Counts an accepted connection; returns how many seconds to wait before accepting the next."""
+        if now - self._interval_started_at >= ACCEPT_INTERVAL_S:
+            self._interval_started_at, self._accepted_in_interval = now, 0
+        self._accepted_in_interval += 1
+        return (
+            self._interval_started_at + ACCEPT_INTERVAL_S - now
+            if self._accepted_in_interval >= ACCEPT_BATCH
+            else 0.0
+        )
+
+    def _add_connection(self, sock: socket.socket) -> None:
+        """Starts to serve an accepted connection, closing the oldest ones if too many are open."""
         sock.setblocking(False)
-        caller = RequestReader(self._node)
-        told = None
-        try:  # most calls are here whole; they cost no wait
-            if not (data := sock.recv(PIECE)):
+        reader = RequestReader(self._balancer)
+        response = None
+        try:  # most requests have already arrived completely and are answered without waiting
+            if not (data := sock.recv(READ_SIZE_BYTES)):
                 return sock.close()
-            if (told := caller.feed(data)) is not None:
-                self._say(sock, told)
+            if (response := reader.feed(data)) is not None:
+                self._send_response(sock, response)
         except BlockingIOError:
             pass
         except OSError:
             return sock.close()
-        while len(self._callers) >= MAX_CONNECTIONS:
-            oldest = next(iter(self._callers))
-            del self._callers[oldest]
+        while len(self._connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self._connections))
+            del self._connections[oldest]
             oldest.cancel()
-        task = asyncio.create_task(self._attend(sock, caller, told is None))
-        self._callers[task] = None
-        task.add_done_callback(lambda task: self._callers.pop(task, None))
+        task = asyncio.create_task(self._serve_connection(sock, reader, response is None))
+        self._connections[task] = None
+        task.add_done_callback(lambda task: self._connections.pop(task, None))
 
-    async def _attend(self, sock: socket.socket, caller: RequestReader, waits: bool) -> None:
-        """Wait for the rest of a call, answer it, end the connection in order."""
+    async def _serve_connection(self, sock: socket.socket, reader: RequestReader, incomplete: bool) -> None:
+        """Reads the rest of an incomplete request and answers it, then closes the connection without a
+        reset."""
         loop = asyncio.get_running_loop()
-        piece = memoryview(bytearray(PIECE)) if waits else _SINK
+        buffer = memoryview(bytearray(READ_SIZE_BYTES)) if incomplete else _DISCARD_BUFFER
         try:
             with contextlib.suppress(OSError, TimeoutError):
                 async with asyncio.timeout(REQUEST_TIMEOUT_S):
-                    while waits:
-                        count = await loop.sock_recv_into(sock, piece)
+                    while incomplete:
+                        count = await loop.sock_recv_into(sock, buffer)
                         if not count:
                             return
-                        told = caller.feed(piece[:count].tobytes())
-                        if told is not None:
-                            self._say(sock, told)
-                            waits = False
-                left = BODY_MAX
-                async with asyncio.timeout(READ_ON):
-                    while left > 0 and (count := await loop.sock_recv_into(sock, _SINK)):
-                        left -= count
+                        response = reader.feed(buffer[:count].tobytes())
+                        if response is not None:
+                            self._send_response(sock, response)
+                            incomplete = False
+                remaining_bytes = DISCARD_MAX_BYTES
+                async with asyncio.timeout(DISCARD_TIMEOUT_S):
+                    while remaining_bytes > 0 and (count := await loop.sock_recv_into(sock, _DISCARD_BUFFER)):
+                        remaining_bytes -= count
         finally:
             sock.close()
 
-    def _say(self, sock: socket.socket, told: Response) -> None:
-        """An answer is far smaller than a socket's buffer: what does not fit has no reader."""
+    def _send_response(self, sock: socket.socket, response: Response) -> None:
+        """Sends without waiting: a response is far smaller than a socket's send buffer, so if it does not
+        fit, the caller is not reading."""
         with contextlib.suppress(OSError):
-            sock.send(write(told))
+            sock.send(encode_response(response))
             sock.shutdown(socket.SHUT_WR)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""Calls of the staff and the figures they read, without sockets; what a caller can send, with them."""
+"""Management requests and metrics without sockets; connections to the management address with them."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from tests.harness import TIMEOUT_S
 
 
-class Node:
-    """A balancer as the calls see it."""
+class FakeBalancer:
+    """A balancer as the endpoints see it."""
 
     def __init__(self) -> None:
         self.drains, self.draining, self.stopping = 0, False, False
@@ -52,42 +52,43 @@
         return not self.stopping
 
 
-def test_the_four_calls() -> None:
-    node = Node()
-    assert handle_request(node, "GET", "/healthcheck") == (200, "ready\n", "")
-    assert handle_request(node, "PUT", "/healthcheck/fail").status == 200
-    assert handle_request(node, "GET", "/healthcheck").status == 503
-    assert handle_request(node, "PUT", "/healthcheck/ok").status == 200
-    assert handle_request(node, "GET", "/healthcheck").status == 200
-    assert handle_request(node, "GET", "/stats?of=all").text == "balancer.concurrent:0|g\n"
+def test_the_four_endpoints() -> None:
+    balancer = FakeBalancer()
+    assert handle_request(balancer, "GET", "/healthcheck") == (200, "ready\n", "")
+    assert handle_request(balancer, "PUT", "/healthcheck/fail").status == 200
+    assert handle_request(balancer, "GET", "/healthcheck").status == 503
+    assert handle_request(balancer, "PUT", "/healthcheck/ok").status == 200
+    assert handle_request(balancer, "GET", "/healthcheck").status == 200
+    assert handle_request(balancer, "GET", "/stats?of=all").text == "balancer.concurrent:0|g\n"
 
 
-def test_what_can_not_be_carried_out_is_told() -> None:
-    node = Node()
-    node.stopping = True
-    told = handle_request(node, "PUT", "/healthcheck/ok")
-    assert told.status == 409 and told.text.count("\n") == 1
-    assert handle_request(node, "GET", "/nowhere").status == 404
-    assert handle_request(node, "PUT", "/stats") == (405, "this path takes GET\n", "GET")
-    assert handle_request(node, "GET", "/healthcheck/fail").allow == "PUT"
-    assert node.drains == 0
+def test_requests_that_can_not_be_carried_out_get_an_error_status() -> None:
+    balancer = FakeBalancer()
+    balancer.stopping = True
+    response = handle_request(balancer, "PUT", "/healthcheck/ok")
+    assert response.status == 409 and response.text.count("\n") == 1
+    assert handle_request(balancer, "GET", "/nowhere").status == 404
+    assert handle_request(balancer, "PUT", "/stats") == (405, "this path takes GET\n", "GET")
+    assert handle_request(balancer, "GET", "/healthcheck/fail").allow == "PUT"
+    assert balancer.drains == 0
 
 
-def test_reading_calls_change_nothing() -> None:
-    node = Node()
-    for path, calls in ENDPOINTS.items():
+def test_only_put_requests_change_anything() -> None:
+    balancer = FakeBalancer()
+    for path, handlers in ENDPOINTS.items():
         for method in ("GET", "HEAD", "POST", "DELETE"):
-            if method not in calls or method == "GET":
-                handle_request(node, method, path)
-    assert node.drains == 0 and not node.draining
-
-
-def fed(data: bytes, size: int = 4096) -> tuple[int, str] | None:
-    caller = RequestReader(Node())
-    for at in range(0, len(data), size):
-        told = caller.feed(data[at : at + size])
-        if told is not None:
-            return told.status, told.text
+            if method not in handlers or method == "GET":
+                handle_request(balancer, method, path)
+    assert balancer.drains == 0 and not balancer.draining
+
+
+def feed_in_chunks(data: bytes, size: int = 4096) -> tuple[int, str] | None:
+    """The response to this data, read `size` bytes at a time."""
+    request_reader = RequestReader(FakeBalancer())
+    for offset in range(0, len(data), size):
+        response = request_reader.feed(data[offset : offset + size])
+        if response is not None:
+            return response.status, response.text
     return None
 
 
@@ -107,32 +108,32 @@
         (b"GET /" + b"x" * 2 * HEAD_MAX_BYTES, 431),
     ],
 )
-def test_each_call_whole_or_in_pieces_gets_its_one_answer(data: bytes, status: int) -> None:
+def test_each_request_whole_or_in_chunks_gets_one_response(data: bytes, status: int) -> None:
     for size in (1, 7, 4096):
-        told = fed(data, size)
-        assert told is not None and told[0] == status
+        response = feed_in_chunks(data, size)
+        assert response is not None and response[0] == status
 
 
 @given(st.binary(max_size=300))
-def test_whatever_a_caller_sends_is_answered_or_waited_for(data: bytes) -> None:
-    told = fed(data, 5)
-    assert told is None or 200 <= told[0] < 500
+def test_any_bytes_get_a_response_or_are_waited_for(data: bytes) -> None:
+    response = feed_in_chunks(data, 5)
+    assert response is None or 200 <= response[0] < 500
 
 
-def test_half_a_call_gets_no_answer_yet() -> None:
-    assert fed(b"GET /healthcheck HTTP/1.1\r\nHost") is None
+def test_an_incomplete_request_gets_no_response_yet() -> None:
+    assert feed_in_chunks(b"GET /healthcheck HTTP/1.1\r\nHost") is None
 
 
-async def call(port: int, data: bytes) -> bytes:
+async def send_request(port: int, data: bytes) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     async with asyncio.timeout(TIMEOUT_S):
-        told = await reader.read()
+        response = await reader.read()
     writer.close()
-    return told
+    return response
 
 
-HEALTH = b"GET /healthcheck HTTP/1.1\r\n\r\n"
+HEALTH_REQUEST = b"GET /healthcheck HTTP/1.1\r\n\r\n"
 
 
 def port_of(management: ManagementServer) -> int:
@@ -140,82 +141,84 @@
     return port
 
 
-def test_callers_that_say_nothing_hold_up_nobody_and_are_bounded() -> None:
-    async def play() -> None:
-        management = ManagementServer(Node(), ("127.0.0.1", 0))
+def test_idle_connections_delay_no_request_and_are_limited() -> None:
+    async def run_test() -> None:
+        management = ManagementServer(FakeBalancer(), ("127.0.0.1", 0))
         running = asyncio.create_task(management.run())
         port = port_of(management)
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5 * MAX_CONNECTIONS)]
         for _, writer in silent[::2]:
             writer.write(b"GET /health")
-        begun = time.monotonic()
-        told = await asyncio.gather(*(call(port, HEALTH) for _ in range(20)))
-        assert time.monotonic() - begun < 1.0
-        assert all(each.startswith(b"HTTP/1.1 200 OK\r\n") for each in told)
-        assert len(management._callers) <= MAX_CONNECTIONS
+        started_at = time.monotonic()
+        responses = await asyncio.gather(*(send_request(port, HEALTH_REQUEST) for _ in range(20)))
+        assert time.monotonic() - started_at < 1.0
+        assert all(each.startswith(b"HTTP/1.1 200 OK\r\n") for each in responses)
+        assert len(management._connections) <= MAX_CONNECTIONS
         async with asyncio.timeout(TIMEOUT_S):
-            assert await silent[0][0].read() == b""  # the longest silent has been given up
+            assert await silent[0][0].read() == b""  # the oldest idle connection has been closed
         for _, writer in silent:
             writer.close()
         running.cancel()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_callers_that_come_again_at_once_do_not_eat_the_core() -> None:
-    """Without the pause each of them is taken in and given up as fast as the loop can."""
+def test_callers_that_reconnect_at_once_do_not_keep_the_cpu_busy() -> None:
+    """Without the accept pause each connection is accepted and closed as fast as the event loop can."""
 
-    async def play() -> None:
-        management = ManagementServer(Node(), ("127.0.0.1", 0))
+    async def run_test() -> None:
+        management = ManagementServer(FakeBalancer(), ("127.0.0.1", 0))
         running = asyncio.create_task(management.run())
         port = port_of(management)
-        taken, take_in = 0, management._take_in
+        accepted, add_connection = 0, management._add_connection
 
-        def counted(sock: socket.socket) -> None:
-            nonlocal taken
-            taken += 1
-            take_in(sock)
+        def count_and_add(sock: socket.socket) -> None:
+            nonlocal accepted
+            accepted += 1
+            add_connection(sock)
 
-        management._take_in = counted  # type: ignore[method-assign]
-        begun = time.monotonic()
-        callers = [await asyncio.open_connection("127.0.0.1", port) for _ in range(300)]
-        while taken < 200:
+        management._add_connection = count_and_add  # type: ignore[method-assign]
+        started_at = time.monotonic()
+        connections = [await asyncio.open_connection("127.0.0.1", port) for _ in range(300)]
+        while accepted < 200:
             await asyncio.sleep(0.005)
-        assert taken <= ACCEPT_BATCH * ((time.monotonic() - begun) / ACCEPT_INTERVAL_S + 1)
-        for _, writer in callers:
+        assert accepted <= ACCEPT_BATCH * ((time.monotonic() - started_at) / ACCEPT_INTERVAL_S + 1)
+        for _, writer in connections:
             writer.close()
         running.cancel()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_half_a_call_is_given_up_in_time_and_an_answer_survives_a_body(
+def test_an_incomplete_request_times_out_and_a_response_survives_a_body(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server, "REQUEST_TIMEOUT_S", 0.1)
 
-    async def play() -> None:
-        management = ManagementServer(Node(), ("127.0.0.1", 0))
+    async def run_test() -> None:
+        management = ManagementServer(FakeBalancer(), ("127.0.0.1", 0))
         running = asyncio.create_task(management.run())
         port = port_of(management)
-        assert await call(port, b"GET /health") == b""
+        assert await send_request(port, b"GET /health") == b""
         body = b"x" * 60_000
-        told = await call(port, b"PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + body)
-        assert told.startswith(b"HTTP/1.1 200 OK\r\n") and told.endswith(b"\r\n\r\nready\n")
+        response = await send_request(
+            port, b"PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + body
+        )
+        assert response.startswith(b"HTTP/1.1 200 OK\r\n") and response.endswith(b"\r\n\r\nready\n")
         running.cancel()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_an_address_that_can_not_be_had_is_one_line() -> None:
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
+def test_an_address_in_use_is_reported_in_one_line() -> None:
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        occupied.listen()
         with pytest.raises(ConfigError, match=r"management=127\.0\.0\.1:.*expected"):
-            ManagementServer(Node(), taken.getsockname())
+            ManagementServer(FakeBalancer(), occupied.getsockname())
 
 
-def test_figures_are_shown_from_the_start_and_add_up() -> None:
+def test_all_metrics_are_listed_from_the_start() -> None:
     assert format_metrics(["chat", "pay"], {}, 0, 0, 3, 1).splitlines() == [
         "balancer.replies.chat.success:0|c",
         "balancer.replies.chat.overload:0|c",
@@ -231,14 +234,14 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.sampled_from(["served", "refused", "failed", "early"]))))
-def test_success_overload_and_error_add_up_to_what_was_answered(ended: list[tuple[str, str]]) -> None:
+def test_success_overload_and_error_add_up_to_the_answers(endings: list[tuple[str, str]]) -> None:
     counters = Counters()
-    for name, how in ended:
-        counters.count_answer(name, how)
+    for name, ended in endings:
+        counters.count_answer(name, ended)
     lines = format_metrics("ab", counters.answers, 0, 0, 0, 0).splitlines()
-    figures = {line.split(":")[0]: int(line.split(":")[1].split("|")[0]) for line in lines}
+    values = {line.split(":")[0]: int(line.split(":")[1].split("|")[0]) for line in lines}
     for name in "ab":
-        shown = sum(figures[f"balancer.replies.{name}.{each}"] for each in ("success", "overload", "error"))
-        assert shown == sum(each == name for each, _ in ended)
-    for how in ("served", "refused", "failed", "early"):
-        assert counters.get(f"answers.{how}") == sum(each == how for _, each in ended)
+        total = sum(values[f"balancer.replies.{name}.{each}"] for each in ("success", "overload", "error"))
+        assert total == sum(each == name for each, _ in endings)
+    for ended in ("served", "refused", "failed", "early"):
+        assert counters.get(f"answers.{ended}") == sum(each == ended for _, each in endings)
