--- a/switchhub/__main__.py
+++ b/switchhub/__main__.py
@@ -20,58 +20,58 @@
 from loguru import logger
 
 from switchhub.net.config import Config, ConfigError, read_config
-from switchhub.net.lines import FOR_FILES
+from switchhub.net.line_socket import RESERVED_DESCRIPTORS
 from switchhub.net.listener import Listener
 
 if TYPE_CHECKING:
-    from switchhub.handover.taker import Taker
-    from switchhub.peers.node import Node
+    from switchhub.handover.receiver import HandoverReceiver
+    from switchhub.peers.node import PeerNode
 
-FEWEST = FOR_FILES + 8  # descriptors with which a balancer can serve anybody
+FEWEST = RESERVED_DESCRIPTORS + 8  # descriptors with which a balancer can serve anybody
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
-async def taker(config: Config) -> Taker | None:
+async def handover_receiver(config: Config) -> HandoverReceiver | None:
     """What can be taken over from a process of this balancer that runs already."""
     if config.management is None:
         return None
-    from switchhub.handover.giver import path_of
-    from switchhub.handover.taker import Taker
+    from switchhub.handover.receiver import HandoverReceiver
+    from switchhub.handover.sender import socket_path
 
-    path = path_of(os.environ.get("TMPDIR", ""), config.name)
-    return await Taker.find(path, config.listen) if path else None
+    path = socket_path(os.environ.get("TMPDIR", ""), config.name)
+    return await HandoverReceiver.find(path, config.listen) if path else None
 
 
-def peers(config: Config) -> Node | None:
+def peers(config: Config) -> PeerNode | None:
     """This balancer among others, where an operator file says so; else nothing of it is imported."""
     path = os.environ.get("SWITCHHUB_OPERATOR", "")
     if not path:
         return None
     try:
-        from switchhub.operator_file import read
+        from switchhub.operator_file import read_operator_file
     except ModuleNotFoundError as error:
         raise ConfigError(
             f"an operator file needs {error.name}: pip install -r requirements-peers.txt"
         ) from None
-    told = read(Path(path))
+    told = read_operator_file(Path(path))
     if told.peers is None:
         return None
-    from switchhub.peers.node import Node
+    from switchhub.peers.node import PeerNode
 
-    return Node(told.peers, config.name, told.leases)
+    return PeerNode(told.peers, config.name, told.leases)
 
 
-async def serve(config: Config, node: Node | None) -> None:
+async def serve(config: Config, node: PeerNode | None) -> None:
     """Run one balancer until a signal stops it."""
-    listener = Listener(config, await taker(config))
+    listener = Listener(config, await handover_receiver(config))
     if node is not None:
-        listener.lifecycle.followers.append(node.follow)
+        listener.lifecycle.observers.append(node.on_phase_change)
         listener.pages.update(node.pages())
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, listener.stop)
     loop.add_signal_handler(signal.SIGHUP, listener.reload)
-    loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counters {}", listener.counters.line()))
+    loop.add_signal_handler(signal.SIGUSR1, lambda: logger.info("counters {}", listener.counters.summary()))
     try:
         await listener.run()
     finally:
