--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -692,7 +692,7 @@
         return {"name": "d", "mine": True, "token": next(tokens), "remaining_ms": 1800, "ends": False}
 
     monkeypatch.setattr(cli, "fetch", fetch)
-    monkeypatch.setattr(cli, "EVERY", 0.05)
+    monkeypatch.setattr(cli, "POLL_INTERVAL", 0.05)
     assert cli.main(["hold", "d", "--via", "x:1", "--", "sleep", "30"]) == 3
     assert let_go and next(tokens, None) is None
 
