--- a/switchhub/leases/token_file.py
+++ b/switchhub/leases/token_file.py
@@ -1,6 +1,6 @@
-"""A voter's highest token in a file that survives it.
+"""Stores a voter's highest token in a file, so that it survives a restart of the voter.
 
-Owns: one file in the operator's folder. Must never: say that a token is written down before the disk has it.
+There is one file for each balancer, in the directory that the operator configured.
 """
 
 from __future__ import annotations
@@ -12,41 +12,53 @@
 
 
 class TokenFile:
-    """The file of one balancer."""
+    """The token file of one balancer."""
 
-    def __init__(self, folder: Path, name: str, electorate: tuple[int, int]) -> None:
+    def __init__(self, directory: Path, name: str, electorate: tuple[int, int]) -> None:
         self._electorate = electorate
-        self._path = folder / f"tokens-{name.encode().hex()}"
+        self._path = directory / f"tokens-{name.encode().hex()}"
 
     def read(self) -> tuple[int, bool] | None:
-        """No token above this was ever voted for, and whether the electorate was this one; None if nothing is
-        known."""
+        """Return the stored token limit and whether it was stored under the current electorate.
+
+        This voter has never voted for a token above the limit. Returns None if there is no file, or if it
+        can't be read (which is logged).
+        """
         try:
-            top, *electorate = map(int, self._path.read_text(encoding="ascii").split())
-            return top, tuple(electorate) == self._electorate
+            token_limit, *electorate = map(int, self._path.read_text(encoding="ascii").split())
+            return token_limit, tuple(electorate) == self._electorate
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
-            logger.error("leases: {}: {}; tokens are learnt from the other voters", self._path, error)
+            logger.error(
+                "leases: can't read {}: {}; asking the other voters for their tokens", self._path, error
+            )
             return None
 
-    def write(self, top: int, before: float) -> float:
-        """Write it down; up to which token that is done now."""
-        new = self._path.with_suffix(".new")
+    def write(self, token_limit: int, previous_limit: float) -> float:
+        """Store the token limit and return the limit that is now durable.
+
+        That is `token_limit` only after the data has reached the disk, and `previous_limit` if writing failed
+        (which is logged).
+        """
+        new_path = self._path.with_suffix(".new")
         try:
-            with open(new, "w", encoding="ascii") as file:
-                file.write(f"{top} {self._electorate[0]} {self._electorate[1]}")
+            with open(new_path, "w", encoding="ascii") as file:
+                file.write(f"{token_limit} {self._electorate[0]} {self._electorate[1]}")
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(new, self._path)
-            folder = os.open(self._path.parent, os.O_RDONLY)
+            os.replace(new_path, self._path)
+            directory = os.open(self._path.parent, os.O_RDONLY)
             try:
-                os.fsync(folder)
+                os.fsync(directory)
             finally:
-                os.close(folder)
+                os.close(directory)
         except OSError as error:
             logger.error(
-                "leases: {} can't be written, no votes above token {}: {}", self._path, before, error
+                "leases: can't write {}; not voting for tokens above {}: {}",
+                self._path,
+                previous_limit,
+                error,
             )
-            return before
-        return top
+            return previous_limit
+        return token_limit
