--- a/switchhub/leases/service.py
+++ b/switchhub/leases/service.py
@@ -56,14 +56,10 @@
             self.voter = Voter(identity, config, now, token_floor, persists_tokens, same_electorate)
         self.out: list[OutgoingMessage] = []
         self.log_lines: list[str] = []
-        self._external_expiry: dict[
-            str, float
-        ] = {}  # by name, when an external hold ends unless it is renewed
+        self._external_expiry: dict[str, float] = {}  # by name, when a hold ends unless renewed
         self._slots: dict[str, int] = {}  # by name with slots, the slot that is wanted
         self._random = RandomSource(seed)
-        self._requested_releases: dict[
-            str, tuple[str, str]
-        ] = {}  # by external name: successor and its address
+        self._requested_releases: dict[str, tuple[str, str]] = {}  # by lease: successor, its address
 
     def hold_external(self, lease: str, now: float) -> None:
         """Acquire the lease for a command, or keep it for another `EXTERNAL_HOLD_TIMEOUT` seconds.
