--- a/switchhub/handover/__init__.py
+++ b/switchhub/handover/__init__.py
@@ -1,1 +1,1 @@
-"""A new version beside the running process: what passes between the two."""
+"""Handover from a running process of a balancer to a new one, so that an upgrade loses no connection."""
--- a/switchhub/handover/channel.py
+++ b/switchhub/handover/channel.py
@@ -1,7 +1,7 @@
-"""A Unix socket between two processes of one balancer: whole messages, and sockets beside them.
+"""A Unix socket between two processes of one balancer, which carries whole messages with sockets attached.
 
-Owns: that socket, messages that it has not taken yet and the sockets that travel with them. Must never:
-block, or keep a socket open that has been sent.
+Owns: that socket, the messages that are not sent yet and the sockets attached to them. Must never: block, or
+keep a socket open that has been sent.
 """
 
 from __future__ import annotations
@@ -14,32 +14,34 @@
 import struct
 from collections import deque
 
-from switchhub.handover.messages import MESSAGE_MAX
+from switchhub.handover.messages import MAX_MESSAGE_BYTES
 
-SOCKETS_MAX = 2
-_CREDENTIALS = struct.Struct("3i")  # linux: pid, uid, gid of the other side
-_FULL = (errno.ETOOMANYREFS, errno.ENOBUFS)
+MAX_SOCKETS_PER_MESSAGE = 2
+_PEER_CREDENTIALS = struct.Struct("3i")  # Linux `struct ucred`: process id, user id, group id
+_TOO_MANY_IN_FLIGHT = (errno.ETOOMANYREFS, errno.ENOBUFS)  # the kernel holds too many unreceived sockets
 
 
-def new_socket() -> socket.socket:
-    """A socket of the kind that both sides speak."""
+def new_unix_socket() -> socket.socket:
+    """Return a non-blocking Unix socket that keeps message boundaries, as both processes use it."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
     return sock
 
 
 class Channel:
-    """One side of the way."""
+    """One end of the connection between two processes of one balancer."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         self._sock = sock
-        self._waiting: deque[tuple[bytes, list[socket.socket]]] = deque()
+        self._unsent: deque[tuple[bytes, list[socket.socket]]] = deque()
 
     @classmethod
-    def to(cls, path: str) -> Channel:
-        """The way to whoever listens there; `OSError` if nobody does, or the platform has no such sockets."""
-        sock = new_socket()
+    def connect_to(cls, path: str) -> Channel:
+        """Connect to the process that listens at this path.
+
+        Raises `OSError` if none does, or if the platform has no such sockets."""
+        sock = new_unix_socket()
         try:
             sock.connect(path)
         except OSError:
@@ -47,22 +49,23 @@
             raise
         return cls(sock)
 
-    def ours(self) -> bool:
-        """Whether the other side is a process of the same user."""
-        return self._peer()[1] == os.getuid()
+    def is_same_user(self) -> bool:
+        """Return whether the peer is a process of the same user."""
+        return self._peer_credentials()[1] == os.getuid()
+
+    def peer_pid(self) -> int:
+        """Return the peer's process id; before the peer has accepted, that of the listening process.
 
-    def pid(self) -> int:
-        """The other side's process, or the one that listens there while nobody has answered; 0: not ours to
-        see."""
-        return self._peer()[0]
+        It is 0 if the peer's process is not visible from this one (another PID namespace)."""
+        return self._peer_credentials()[0]
 
-    def _peer(self) -> tuple[int, int, int]:
-        raw = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
-        pid, user, group = _CREDENTIALS.unpack(raw)
+    def _peer_credentials(self) -> tuple[int, int, int]:
+        raw = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
+        pid, user, group = _PEER_CREDENTIALS.unpack(raw)
         return pid, user, group
 
-    def unread(self) -> bool:
-        """Whether something lies here that was not received, be it the end."""
+    def has_unread(self) -> bool:
+        """Return whether a message, or the end of the connection, waits to be received."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -71,58 +74,66 @@
             pass
         return True
 
-    def copy(self) -> socket.socket:
-        """Another hold on it, for a thread that sends whole messages beside this one."""
+    def duplicate_socket(self) -> socket.socket:
+        """Return a duplicate of the socket, for a thread that sends whole messages beside this channel."""
         return self._sock.dup()
 
     def send(self, message: bytes, *sockets: socket.socket) -> None:
-        """Send it now, or when `flush` finds room. The sockets are the channel's from here on."""
-        self._waiting.append((message, list(sockets)))
+        """Send the message now, or in a later `flush` once there is room.
+
+        The channel owns the attached sockets from here on and closes them."""
+        self._unsent.append((message, list(sockets)))
         self.flush()
 
     def flush(self) -> bool:
-        """Send what waits; whether nothing does any more. `OSError` once the other side has gone."""
-        while self._waiting:
-            message, sockets = self._waiting[0]
+        """Send the messages that wait; return whether none is left.
+
+        Raises `OSError` once the peer has closed the connection."""
+        while self._unsent:
+            message, sockets = self._unsent[0]
             try:
                 if sockets:
-                    socket.send_fds(self._sock, [message], [each.fileno() for each in sockets])
+                    socket.send_fds(self._sock, [message], [attached.fileno() for attached in sockets])
                 else:
                     self._sock.send(message)
             except BlockingIOError:
                 return False
             except OSError as error:
-                if error.errno in _FULL:  # too many sockets on their way
+                if error.errno in _TOO_MANY_IN_FLIGHT:
                     return False
                 raise
-            self._waiting.popleft()
-            for each in sockets:
-                each.close()
+            self._unsent.popleft()
+            for attached in sockets:
+                attached.close()
         return True
 
     async def receive(self) -> tuple[bytes, list[socket.socket]] | None:
-        """The next message, or nothing at the end. Sockets that came with it do not wait.
+        """Return the next message and its sockets, which are non-blocking; none at the end of the connection.
 
-        Danger: Python takes a received socket for one that waits, and `dup` writes that into the flags which
-        every process with this socket shares: they would all stand still in `accept` until a client comes."""
+        A truncated message also counts as the end. The sockets must be set non-blocking here: Python takes a
+        received socket for a blocking one, and its `dup` writes that into the file status flags, which are
+        common to all processes that share the socket. All of them would then block in `accept` until the next
+        client connects."""
         while True:
             try:
-                data, numbers, flags, _ = socket.recv_fds(self._sock, MESSAGE_MAX, SOCKETS_MAX)
+                data, descriptors, flags, _ = socket.recv_fds(
+                    self._sock, MAX_MESSAGE_BYTES, MAX_SOCKETS_PER_MESSAGE
+                )
             except BlockingIOError:
-                await self._readable()
+                await self._wait_readable()
                 continue
             except OSError:
                 return None
-            sockets = [socket.socket(fileno=number) for number in numbers]
-            for each in sockets:
-                each.setblocking(False)
+            sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
+            for received in sockets:
+                received.setblocking(False)
             if not data or flags & socket.MSG_TRUNC:
-                for each in sockets:
-                    each.close()
+                for received in sockets:
+                    received.close()
                 return None
             return data, sockets
 
-    async def _readable(self) -> None:
+    async def _wait_readable(self) -> None:
         loop = asyncio.get_running_loop()
         ready = asyncio.Event()
         loop.add_reader(self._sock, ready.set)
@@ -132,10 +143,10 @@
             loop.remove_reader(self._sock)
 
     def close(self) -> None:
-        """Give it back, with whatever was not sent."""
-        for _, sockets in self._waiting:
-            for each in sockets:
-                each.close()
-        self._waiting.clear()
+        """Close the socket, and those attached to messages that were not sent."""
+        for _, sockets in self._unsent:
+            for attached in sockets:
+                attached.close()
+        self._unsent.clear()
         with contextlib.suppress(OSError):
             self._sock.close()
--- a/switchhub/handover/link.py
+++ b/switchhub/handover/link.py
@@ -1,12 +1,13 @@
-"""A pair of processes of one balancer: the right to accept between them, what each knows of the other's.
+"""The link between two processes of one balancer: which of them accepts, and the connections of each.
 
-Owns: the channel, this side of the right, the thread that beats, the connections of the other process that
-are counted here, what it was told of ours. Must never: end this process, or go on with a connection that the
-other may still serve.
+Owns: the channel, this process's state of the right to accept, the heartbeat thread, the peer's connections
+that are counted here, and what the peer was sent about this process's. Must never: end this process, or serve
+a connection that the peer may still serve.
 
-Danger: what a stalled process holds may still be out at a server, and it may wake. So it is only ever
-counted: its ids stay taken, none of its requests is tried here. After `ABANDON_TIMEOUT_S` its clients have
-gone, and it counts for nothing in the sums; when it wakes, it tells of everything anew.
+An attempt of a stalled peer may still be running at a server, and the peer may wake. So this process only
+counts the peer's connections: their ids stay in use, and none of their requests is tried again here. After
+`ABANDON_TIMEOUT_S` of silence their clients have left and they no longer count in the load sums; a peer that
+wakes later reports everything anew.
 """
 
 from __future__ import annotations
@@ -40,410 +41,482 @@
 
     from switchhub.net.listener import Listener
 
-TURN = 0.02  # seconds between two looks at the right, and at what has changed here
-SENT_EVERY = 0.1  # seconds between two words on what was sent to cold servers
-AT_ONCE = 32  # connections passed on that the other has not confirmed: so many are stuck if it stalls
+TICK_INTERVAL_S = 0.02  # between two checks of the right to accept and of this process's connections
+SENT_REPORT_INTERVAL_S = 0.1  # between two reports of what was sent to cold servers
+MAX_UNCONFIRMED = 32  # connections passed on and not confirmed; so many are stuck if the new process stalls
 
 
 class ProcessLink:
-    """One side of a pair."""
+    """This process's end of the link to an older or a newer process of the same balancer."""
 
     def __init__(
-        self, node: Listener, channel: Channel, is_newer: bool, beats: bool, shares_queue: bool
+        self,
+        listener: Listener,
+        channel: Channel,
+        is_newer: bool,
+        supports_accept_right: bool,
+        shares_queue: bool,
     ) -> None:
-        """`beats`: the other side's form knows the right; `shares_queue`: one accept queue for both."""
-        self._node, self._channel = node, channel
+        """`is_newer`: whether this process is the newer one; `supports_accept_right`: whether the peer's
+        version knows claims and heartbeats; `shares_queue`: whether both accept from the same queue."""
+        self._listener, self._channel = listener, channel
         self.is_newer, self.shares_queue = is_newer, shares_queue
-        self.pid = channel.pid()
-        self.side = RightState(time.monotonic(), is_newer) if beats else None
-        self.known = asyncio.Event()  # the older one has said what it knows and holds
-        self._theirs: dict[str, messages.HeldConnection] = {}  # counted here, served there
-        self._to_move: set[str] = set()  # of these: the module wants them moved
-        self._told: dict[str, str] = {}  # ours that it was told of, and where they are
-        self._sent: set[tuple[str, float, float]] = set()  # what both know to have been sent to cold servers
-        self._sent_at = 0.0
-        self.lost = 0  # connections of the other that went with it
-        self._out = 0  # passed on and not confirmed
+        self.peer_pid = channel.peer_pid()
+        self.right_state = RightState(time.monotonic(), is_newer) if supports_accept_right else None
+        self.state_received = asyncio.Event()  # the older process has sent what it knows and holds
+        self._peer_connections: dict[str, messages.HeldConnection] = {}  # counted here, served by the peer
+        self._to_move: set[str] = set()  # those of them that the decision module wants moved
+        self._reported: dict[str, str] = {}  # this process's connections that the peer was sent: id to server
+        self._known_sent: set[tuple[str, float, float]] = set()  # load to cold servers that both know of
+        self._sent_reported_at = 0.0
+        self.lost_connections = 0  # connections of the peer that ended with it
+        self._unconfirmed = 0  # connections passed on that the peer has not confirmed
         self._confirmed = asyncio.Event()
-        self._looked = self._turned = time.monotonic()  # when the loop turned last; the same, and not full
-        self._beat = Heartbeat(0, False, 0.0, False)  # written here, read by the thread
-        self._over = threading.Event()
+        # When the main loop ran last, and when it last ran with descriptors left to accept clients.
+        self._last_tick = self._last_ready_to_accept = time.monotonic()
+        self._heartbeat = Heartbeat(0, False, 0.0, False)  # set by the main loop, sent by the thread
+        self._closed = threading.Event()
 
-    # The right.
+    # The right to accept.
 
     @property
     def accepts(self) -> bool:
-        """Whether this process accepts, as far as this pair goes."""
+        """Whether this process accepts clients, as far as this peer is concerned."""
         if not self.shares_queue:
             return True
-        return self.is_newer if self.side is None else self.side.accepts
+        return self.is_newer if self.right_state is None else self.right_state.accepts
 
     @property
     def holds_right(self) -> bool:
-        """Whether the right is ours."""
-        return self.is_newer if self.side is None else self.side.holds_right
+        """Whether this process holds the right to accept."""
+        return self.is_newer if self.right_state is None else self.right_state.holds_right
 
     @property
     def yielded(self) -> bool:
-        """Whether the other, newer one holds the right."""
-        return not self.is_newer and (self.side is None or not self.side.holds_right)
+        """Whether the peer is the newer process and holds the right to accept."""
+        return not self.is_newer and (self.right_state is None or not self.right_state.holds_right)
 
     @property
     def can_receive_connections(self) -> bool:
-        """Whether the newer one can be given what stands here."""
-        return self.yielded and (self.side is None or not self.side.accepts)
+        """Whether this process's established connections can be passed on to the peer."""
+        return self.yielded and (self.right_state is None or not self.right_state.accepts)
 
     def heartbeat_since(self, at: float) -> bool:
-        """Whether the other has beaten since then, by the monotonic clock; one that can't beat has.
+        """Return whether a heartbeat has arrived since this monotonic time; true if the peer sends none.
 
-        Danger: one told to end leaves for good, and what serves may have stopped a moment ago."""
-        return self.side is None or self.side.monitor.last_heartbeat > at
+        A process that is told to end can't come back, and the peer that serves may have stopped just before.
+        """
+        return self.right_state is None or self.right_state.monitor.last_heartbeat > at
 
     def may_accept(self) -> bool:
-        """Asked before each client."""
+        """Return whether this process may accept the next client; asked before each one."""
         return (
             self.accepts
-            if self.side is None
-            else self.side.may_accept(time.monotonic()) or not self.shares_queue
+            if self.right_state is None
+            else self.right_state.may_accept(time.monotonic()) or not self.shares_queue
         )
 
-    def take_over(self, above: int) -> None:
-        """Take over from the older one."""
+    def take_over(self, known_generation: int) -> None:
+        """Claim the right to accept from the older peer, whose generation is 0 if unknown."""
         assert self.is_newer
-        if self.side is None:
+        if self.right_state is None:
             return self.send(messages.encode_message("take"))
-        word = self.side.take_over(time.monotonic(), above)
+        claim = self.right_state.take_over(time.monotonic(), known_generation)
         self.send(
-            messages.encode_message("take", queue=self._node.accept_queue_id(), generation=word.generation)
+            messages.encode_message(
+                "take", queue=self._listener.accept_queue_id(), generation=claim.generation
+            )
         )
 
-    def give_way(self, generation: int) -> None:
-        """The newer one has taken over."""
-        if self.side is not None:
-            self.side.receive_claim(time.monotonic(), RightClaim(generation, True))
-
-    def _turn(self) -> None:
-        """A look at the time."""
-        assert self.side is not None
-        node, side, now = self._node, self.side, time.monotonic()
-        if now - self._looked > ABANDON_TIMEOUT_S / 2:
-            self._told.clear()  # the other may have given us up
-        self._looked = now
-        if not node.out_of_descriptors:  # one without descriptors accepts nobody, as one that stands still
-            self._turned = now
-        side.shutting_down = node.lifecycle.stopping
-        held = side.holds_right
-        if (word := side.tick(now, self._channel.unread())) is not None:
-            self.send(messages.encode_message("right", **word._asdict()))
-        if side.holds_right is not held:
-            self._say_change(now, taken=True)
-        self._beat = side.heartbeat(node.serving, 0.0)
-        if self._theirs and side.monitor.silent(now) >= ABANDON_TIMEOUT_S:
-            logger.warning("the {} process is silent: {} sessions lost", self._other, len(self._theirs))
-            self._node.counters.add("handover.lost", len(self._theirs))
-            self.end(list(self._theirs))
+    def yield_right(self, generation: int) -> None:
+        """Apply the newer peer's claim to the right to accept."""
+        if self.right_state is not None:
+            self.right_state.receive_claim(time.monotonic(), RightClaim(generation, True))
+
+    def _tick(self) -> None:
+        """Update the right to accept, and give up the connections of a peer that is silent for too long."""
+        assert self.right_state is not None
+        listener, right_state, now = self._listener, self.right_state, time.monotonic()
+        if now - self._last_tick > ABANDON_TIMEOUT_S / 2:
+            self._reported.clear()  # the peer may have given up this process's connections: report them again
+        self._last_tick = now
+        # A process without descriptors accepts nobody, like one whose main loop is stalled.
+        if not listener.out_of_descriptors:
+            self._last_ready_to_accept = now
+        right_state.shutting_down = listener.lifecycle.stopping
+        held_right = right_state.holds_right
+        if (claim := right_state.tick(now, self._channel.has_unread())) is not None:
+            self.send(messages.encode_message("right", **claim._asdict()))
+        if right_state.holds_right is not held_right:
+            self._log_right_change(now, claimed_here=True)
+        self._heartbeat = right_state.heartbeat(listener.serving, 0.0)
+        if self._peer_connections and right_state.monitor.silence_s(now) >= ABANDON_TIMEOUT_S:
+            logger.warning(
+                "no heartbeat from the {} process for too long: its {} connections no longer count here",
+                self._peer_age,
+                len(self._peer_connections),
+            )
+            self._listener.counters.add("handover.lost", len(self._peer_connections))
+            self.stop_counting(list(self._peer_connections))
 
     @property
-    def _other(self) -> str:
+    def _peer_age(self) -> str:
         return "old" if self.is_newer else "new"
 
-    def _say_change(self, now: float, taken: bool) -> None:
-        assert self.side is not None
-        side, monitor = self.side, self.side.monitor
-        if side.holds_right and not (taken and monitor.stalled(now)):  # it gives it back, or is told to end
-            logger.info("the {} process gives back: accepting, generation {}", self._other, side.generation)
-        elif side.holds_right:
-            stood, silent = monitor.loop_stalled_s * 1000, monitor.silent(now) * 1000
-            self._node.counters.add("handover.taken_back")
+    def _log_right_change(self, now: float, claimed_here: bool) -> None:
+        assert self.right_state is not None
+        right_state, monitor = self.right_state, self.right_state.monitor
+        if right_state.holds_right and not (claimed_here and monitor.is_stalled(now)):
+            # The peer gives it back, or is told to end.
+            logger.info(
+                "the {} process gives back the right to accept; accepting clients, generation {}",
+                self._peer_age,
+                right_state.generation,
+            )
+        elif right_state.holds_right:
+            loop_stalled_ms, silence_ms = monitor.loop_stalled_s * 1000, monitor.silence_s(now) * 1000
+            self._listener.counters.add("handover.taken_back")
             logger.warning(
-                "the {} process is silent for {:.0f} ms (its loop stood {:.0f} ms): accepting, generation {}",
-                *(self._other, silent, stood, side.generation),
+                "the {} process is silent for {:.0f} ms (its main loop stalled for {:.0f} ms): "
+                "accepting clients, generation {}",
+                *(self._peer_age, silence_ms, loop_stalled_ms, right_state.generation),
             )
         else:
-            logger.info("the {} process accepts from now on, generation {}", self._other, side.generation)
+            logger.info(
+                "the {} process holds the right to accept from now on, generation {}",
+                self._peer_age,
+                right_state.generation,
+            )
 
-    def _beat_on(self, sock: socket.socket) -> None:
-        """The thread: a loop that is late in a storm is no process that has stopped."""
+    def _send_heartbeats(self, sock: socket.socket) -> None:
+        """Run the heartbeat thread.
+
+        It is no part of the main loop, since one that is late under load is not a stopped process."""
         try:
-            while not self._over.wait(HEARTBEAT_INTERVAL_S):
-                beat = self._beat._replace(stood=max(0.0, time.monotonic() - self._turned - 2 * TURN))
-                with contextlib.suppress(BlockingIOError):  # full of what the other has not read
-                    sock.send(messages.encode_message("beat", **beat._asdict()))
+            while not self._closed.wait(HEARTBEAT_INTERVAL_S):
+                heartbeat = self._heartbeat._replace(
+                    stood=max(0.0, time.monotonic() - self._last_ready_to_accept - 2 * TICK_INTERVAL_S)
+                )
+                with contextlib.suppress(BlockingIOError):  # the peer has not read earlier ones
+                    sock.send(messages.encode_message("beat", **heartbeat._asdict()))
         except OSError:
-            pass  # the end is seen where it is read
+            pass  # the main loop notices the end when it receives
         finally:
             sock.close()
 
-    # What passes.
+    # Messages.
 
     def send(self, message: bytes, *sockets: socket.socket) -> None:
-        """Now or when there is room; the end is seen where it is read."""
+        """Send the message now or once there is room; `follow` notices when the peer has ended."""
         try:
             self._channel.send(message, *sockets)
         except OSError as error:
-            logger.debug("hand-over: {}", error)
+            logger.debug("can't send to the other process: {}", error)
 
     async def follow(self) -> None:
-        """Until the other has gone: `ConnectionResetError`. An older one takes no word that it does not
-        know."""
-        self._node.add_link(self)
-        watching = asyncio.create_task(self._look_on())
+        """Handle the peer's messages until it has ended, which raises `ConnectionResetError`.
+
+        Here the older process raises `MessageError` at a message that it does not know; the newer one logs
+        it."""
+        self._listener.add_link(self)
+        watching = asyncio.create_task(self._run_ticks())
         try:
-            if self.side is not None:
-                # Danger: the channel may be closed before the thread has begun: its hold on it is taken here.
-                threading.Thread(target=self._beat_on, args=(self._channel.copy(),), daemon=True).start()
+            if self.right_state is not None:
+                # Duplicated here, since the channel may be closed before the thread has begun.
+                threading.Thread(
+                    target=self._send_heartbeats, args=(self._channel.duplicate_socket(),), daemon=True
+                ).start()
             while True:
                 try:
-                    await self._next()
+                    await self._handle_next()
                 except messages.MessageError as error:
                     if not self.is_newer:
                         raise
-                    logger.warning("hand-over: {}", error)
+                    logger.warning("ignoring a message of the old process: {}", error)
                 except (KeyError, TypeError, ValueError, OSError) as error:
                     if isinstance(error, ConnectionResetError):
                         raise
-                    self._node.counters.add("errors")
-                    logger.exception("the hand-over broke")
+                    self._listener.counters.add("errors")
+                    logger.exception("can't handle a message of the other process")
         finally:
             watching.cancel()
             self.close()
 
     def close(self) -> None:
-        """The pair is over."""
-        self._over.set()
+        """Close the channel and give up the peer's connections."""
+        self._closed.set()
         self._channel.close()
-        self.lost = len(self._theirs)
-        self.end(list(self._theirs))
-        self._node.remove_link(self)
+        self.lost_connections = len(self._peer_connections)
+        self.stop_counting(list(self._peer_connections))
+        self._listener.remove_link(self)
 
-    async def _look_on(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             try:
-                if self.side is not None:
-                    self._turn()
-                if self.side is not None or not self.is_newer:
-                    self.tell()
-                self._node.apply_handover_state()
-            except Exception:  # a defect of ours; the right is worth more
-                self._node.counters.add("errors")
-                logger.exception("the hand-over broke")
-            await asyncio.sleep(TURN)
-
-    async def _next(self) -> None:
+                if self.right_state is not None:
+                    self._tick()
+                if self.right_state is not None or not self.is_newer:
+                    self.report_connections()
+                self._listener.apply_handover_state()
+            except Exception:  # a defect here must not stop the right to accept
+                self._listener.counters.add("errors")
+                logger.exception("can't update the link to the other process")
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    async def _handle_next(self) -> None:
         received = await self._channel.receive()
         if received is None:
-            raise ConnectionResetError(f"the {self._other} process has gone")
+            raise ConnectionResetError(f"the {self._peer_age} process closed the channel")
         data, sockets = received
         try:
             kind, values = messages.decode_message(data)
-            if self.side is not None and self._hear_right(self.side, kind, values):
+            if self.right_state is not None and self._handle_right(self.right_state, kind, values):
                 pass
             elif kind == "held":
                 for held in messages.decode_held(values):
-                    self._count(held)
+                    self._count_connection(held)
             elif kind == "ended":
-                self.end([str(each) for each in values.get("ids", ())])
+                self.stop_counting([str(connection_id) for connection_id in values.get("ids", ())])
             elif kind == "sent":
                 self._merge_sent(messages.decode_sent(values))
             elif kind == "got":
-                self._out -= 1
+                self._unconfirmed -= 1
                 self._confirmed.set()
             elif not self.is_newer:
-                raise messages.MessageError("a word out of turn")
+                raise messages.MessageError("unexpected kind of message from the new process")
             elif kind == "known":
-                self._know(values)
-            elif kind == "yours" and self._node.serving:
-                self.known.set()  # late: what was learnt here is newer, with what both sent to cold servers
+                self._inherit_server_list(values)
+            elif kind == "yours" and self._listener.serving:
+                # Too late: what was learned here is newer, and both processes report loads to cold servers.
+                self.state_received.set()
             elif kind == "yours":
-                self._node.facade.restore_learned_state(
-                    self._node.clock(), messages.decode_learnt(values.get("learnt"))
+                self._listener.facade.restore_learned_state(
+                    self._listener.clock(), messages.decode_learned_state(values.get("learnt"))
                 )
-                self.known.set()
+                self.state_received.set()
             elif kind == "pass" and len(sockets) == 2:
-                if self.side is not None:
+                if self.right_state is not None:
                     self.send(messages.encode_message("got"))
-                self._go_on(messages.decode_passed(values), sockets.pop(0), sockets.pop(0))
+                self._continue_connection(messages.decode_passed(values), sockets.pop(0), sockets.pop(0))
         finally:
-            if self.side is not None and not self._channel.unread():
-                self.side.mark_all_read()
-            self._node.update_socket_budget()
+            if self.right_state is not None and not self._channel.has_unread():
+                self.right_state.mark_all_read()
+            self._listener.update_socket_budget()
             for sock in sockets:
                 sock.close()
 
-    def _hear_right(self, side: RightState, kind: str, values: dict[str, Any]) -> bool:
-        now, held = time.monotonic(), side.holds_right
+    def _handle_right(self, right_state: RightState, kind: str, values: dict[str, Any]) -> bool:
+        """Handle a claim or a heartbeat; return whether the message was one."""
+        now, held_right = time.monotonic(), right_state.holds_right
         try:
             if kind == "right":
-                side.receive_claim(now, RightClaim(int(values["generation"]), bool(values["newer"])))
+                right_state.receive_claim(now, RightClaim(int(values["generation"]), bool(values["newer"])))
             elif kind == "beat":
-                told = int(values["generation"]), bool(values["accepts"]), float(values["stood"])
-                side.receive_heartbeat(now, Heartbeat(*told, bool(values["leaves"])))
+                fields = int(values["generation"]), bool(values["accepts"]), float(values["stood"])
+                right_state.receive_heartbeat(now, Heartbeat(*fields, bool(values["leaves"])))
             else:
                 return False
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise messages.MessageError(f"{kind}: {type(error).__name__}: {error}") from None
-        if side.holds_right is not held:
-            self._say_change(now, taken=False)
-        self._beat = side.heartbeat(self._node.serving, 0.0)
+            raise messages.MessageError(
+                f"malformed {kind} message: {type(error).__name__}: {error}"
+            ) from None
+        if right_state.holds_right is not held_right:
+            self._log_right_change(now, claimed_here=False)
+        self._heartbeat = right_state.heartbeat(self._listener.serving, 0.0)
         return True
 
-    def _know(self, values: dict[str, Any]) -> None:
-        node = self._node
+    def _inherit_server_list(self, values: dict[str, Any]) -> None:
+        """Use the old process's discovery and server list, unless this process serves with one as new."""
+        listener = self._listener
         try:
-            listing = parse_listing(values["listing"], node.config.zones, node.config.kinds)
-            if node.serving and listing.version <= node.discovery.version:
+            listing = parse_listing(values["listing"], listener.config.zones, listener.config.kinds)
+            if listener.serving and listing.version <= listener.discovery.version:
                 return
-            node.discovery.load_predecessor_listing(parse_address(values["discovery"]), listing)
+            listener.discovery.load_predecessor_listing(parse_address(values["discovery"]), listing)
         except (AttributeError, ConfigError, KeyError, TypeError) as error:
-            raise messages.MessageError(f"known: {type(error).__name__}: {error}") from None
+            raise messages.MessageError(f"malformed known message: {type(error).__name__}: {error}") from None
 
-    # What the other holds.
+    # The peer's connections.
 
-    def _count(self, held: messages.HeldConnection) -> None:
-        """Danger: rule 1 wants its id taken, rules 3 and 4 and the sums want it counted where it is."""
-        node = self._node
-        if held.id in node.sessions or self._theirs.get(held.id) == held:
+    def _count_connection(self, held: messages.HeldConnection) -> None:
+        """Count a connection of the peer here.
+
+        Its id must stay in use, so that no second request with it is answered. And it must count at its
+        server: for the load sum, for the moves when that server drains, and for a cold server's budget."""
+        listener = self._listener
+        if held.id in listener.sessions or self._peer_connections.get(held.id) == held:
             return
-        if held.id in self._theirs:
-            self.end([held.id])
-        self._theirs[held.id] = held
-        node.ids.reserve(held.id)
-        logger.debug("{} is the {} process's, at {}", held.id, self._other, held.server)
-        request = messages.request_of(held, node.config.classes, node.config.tenants)
-        node.facade.report(node.clock(), Adopted(request, held.server))
-
-    def end(self, names: list[str]) -> None:
-        """Some of these count no more; their ids are remembered as others'."""
-        for name in names:
-            if self._theirs.pop(name, None) is not None:
-                self._to_move.discard(name)
-                self._node.ids.release(name)
-                self._node.facade.report(self._node.clock(), Ended(name, 0.0, Result.CANCELLED, True))
+        if held.id in self._peer_connections:
+            self.stop_counting([held.id])
+        self._peer_connections[held.id] = held
+        listener.ids.reserve(held.id)
+        logger.debug("connection {} is held by the {} process, at {}", held.id, self._peer_age, held.server)
+        request = messages.request_from(held, listener.config.classes, listener.config.tenants)
+        listener.facade.report(listener.clock(), Adopted(request, held.server))
+
+    def stop_counting(self, connection_ids: list[str]) -> None:
+        """Stop counting these connections of the peer; their ids are remembered as used."""
+        for connection_id in connection_ids:
+            if self._peer_connections.pop(connection_id, None) is not None:
+                self._to_move.discard(connection_id)
+                self._listener.ids.release(connection_id)
+                self._listener.facade.report(
+                    self._listener.clock(), Ended(connection_id, 0.0, Result.CANCELLED, True)
+                )
 
     @property
     def remote_connections(self) -> int:
-        """How many connections the other holds."""
-        return len(self._theirs)
-
-    def _go_on(self, passed: messages.PassedConnection, client: socket.socket, server: socket.socket) -> None:
-        node, held = self._node, passed.held
-        if self._theirs.get(held.id) != held:
-            self.end([held.id])
-            self._count(held)
-        self._theirs.pop(held.id, None)
+        """How many connections the peer holds."""
+        return len(self._peer_connections)
+
+    def _continue_connection(
+        self, passed: messages.PassedConnection, client: socket.socket, server: socket.socket
+    ) -> None:
+        """Serve a connection that the peer has passed on with its two sockets."""
+        listener, held = self._listener, passed.held
+        if self._peer_connections.get(held.id) != held:
+            self.stop_counting([held.id])
+            self._count_connection(held)
+        self._peer_connections.pop(held.id, None)
         if held.id in self._to_move:
             self._to_move.discard(held.id)
             passed = passed._replace(move=True)
-        request = messages.request_of(held, node.config.classes, node.config.tenants)
+        request = messages.request_from(held, listener.config.classes, listener.config.tenants)
         try:
-            wires = (
-                node.sockets.from_predecessor(client, passed.from_client),
-                node.sockets.from_predecessor(server, passed.from_server),
+            line_sockets = (
+                listener.sockets.from_predecessor(client, passed.from_client),
+                listener.sockets.from_predecessor(server, passed.from_server),
             )
         except LineError as error:
-            raise messages.MessageError(f"pass: {error}") from None
-        node.resume_session(Session.from_predecessor(node, passed, *wires, request))
+            raise messages.MessageError(f"malformed pass message: {error}") from None
+        listener.resume_session(Session.from_predecessor(listener, passed, *line_sockets, request))
 
-    def move(self, name: str) -> bool:
-        """The module wants a connection moved; whether it is one of the old process, then as soon as it is
-        here."""
-        if not self.is_newer or name not in self._theirs:
+    def move(self, connection_id: str) -> bool:
+        """Have a connection of the older peer moved as soon as it is passed on; return whether it is one."""
+        if not self.is_newer or connection_id not in self._peer_connections:
             return False
-        self._to_move.add(name)
+        self._to_move.add(connection_id)
         return True
 
-    # What we hold.
+    # This process's connections.
 
-    def introduce(self) -> None:
-        """Say what this process knows and holds, to one that takes over."""
-        node = self._node
-        address, listing = node.discovery.snapshot()
+    def send_state(self) -> None:
+        """Send the newer peer what this process knows and holds."""
+        listener = self._listener
+        address, listing = listener.discovery.snapshot()
         self.send(messages.encode_message("known", discovery="{}:{}".format(*address), listing=listing))
-        self.tell()
+        self.report_connections()
         self.send(
-            messages.encode_message("yours", learnt=messages.encode_learnt(node.facade.learned_state()))
+            messages.encode_message(
+                "yours", learnt=messages.encode_learned_state(listener.facade.learned_state())
+            )
         )
 
-    def tell(self) -> None:
-        """What has changed among the connections held since the last time."""
-        sessions, told = self._node.sessions, self._told
-        places = {
-            name: each.current_server for name, each in sessions.items()
-        }  # none before a server is chosen
-        ended = [name for name, where in told.items() if places.get(name) != where]
-        moved = [name for name, where in places.items() if where and told.get(name) != where]
-        new = [held for name in moved if (held := sessions[name].handover_record()) is not None]
-        if ended:
-            self.send(messages.encode_message("ended", ids=ended))
-        self._tell_sent(time.monotonic())
+    def report_connections(self) -> None:
+        """Send the peer what has changed among this process's connections since the last report."""
+        sessions, reported = self._listener.sessions, self._reported
+        # The server of each connection; empty until one is chosen.
+        current_servers = {
+            connection_id: session.current_server for connection_id, session in sessions.items()
+        }
+        ended_ids = [
+            connection_id
+            for connection_id, server_name in reported.items()
+            if current_servers.get(connection_id) != server_name
+        ]
+        placed_ids = [
+            connection_id
+            for connection_id, server_name in current_servers.items()
+            if server_name and reported.get(connection_id) != server_name
+        ]
+        new = [
+            held
+            for connection_id in placed_ids
+            if (held := sessions[connection_id].handover_record()) is not None
+        ]
+        if ended_ids:
+            self.send(messages.encode_message("ended", ids=ended_ids))
+        self._report_sent(time.monotonic())
         for message in messages.encode_held(new):
             self.send(message)
-        for name in ended:
-            del told[name]
-        told.update((held.id, held.server) for held in new)
-        with contextlib.suppress(OSError):  # its end is seen where it is listened to
+        for connection_id in ended_ids:
+            del reported[connection_id]
+        reported.update((held.id, held.server) for held in new)
+        with contextlib.suppress(OSError):  # the receiving side notices that the peer has ended
             self._channel.flush()
 
-    def _tell_sent(self, now: float) -> None:
-        """Danger: what the other does not know of, it sends to a cold server once more (rule 4)."""
-        if self.side is None or now - self._sent_at < SENT_EVERY:
+    def _report_sent(self, now: float) -> None:
+        """Send the peer what this process has sent to cold servers.
+
+        Otherwise the peer would spend the same budget of a cold server again, and both would overload it."""
+        if self.right_state is None or now - self._sent_reported_at < SENT_REPORT_INTERVAL_S:
             return
-        self._sent_at = now
-        mine = {
-            (each.server, *sent) for each in self._node.facade.learned_state().servers for sent in each.sent
+        self._sent_reported_at = now
+        sent_here = {
+            (server_state.server, *sent)
+            for server_state in self._listener.facade.learned_state().servers
+            for sent in server_state.sent
         }
-        new = [each for each in sorted(mine - self._sent) if math.isfinite(each[2])]
-        self._sent = mine
+        new = [entry for entry in sorted(sent_here - self._known_sent) if math.isfinite(entry[2])]
+        self._known_sent = sent_here
         if new:
             self.send(messages.encode_message("sent", servers=new))
 
-    def _merge_sent(self, told: list[tuple[str, float, float]]) -> None:
-        learnt = self._node.facade.learned_state()
-        news: dict[str, set[tuple[float, float]]] = {}
-        for server, at, push in told:
-            news.setdefault(server, set()).add((at, push))
+    def _merge_sent(self, reported: list[tuple[str, float, float]]) -> None:
+        learned_state = self._listener.facade.learned_state()
+        sent_by_server: dict[str, set[tuple[float, float]]] = {}
+        for server_name, sent_at, sent_load in reported:
+            sent_by_server.setdefault(server_name, set()).add((sent_at, sent_load))
         servers = tuple(
-            each._replace(sent=tuple(sorted(news[each.server].union(each.sent))))
-            if each.server in news
-            else each
-            for each in learnt.servers
+            server_state._replace(
+                sent=tuple(sorted(sent_by_server[server_state.server].union(server_state.sent)))
+            )
+            if server_state.server in sent_by_server
+            else server_state
+            for server_state in learned_state.servers
+        )
+        self._known_sent.update(reported)
+        self._listener.facade.restore_learned_state(
+            self._listener.clock(), learned_state._replace(servers=servers)
         )
-        self._sent.update(told)
-        self._node.facade.restore_learned_state(self._node.clock(), learnt._replace(servers=servers))
 
     def all_sent(self) -> bool:
-        """Whether the other has taken everything.
+        """Send what still waits; return whether the peer has been sent everything, or has ended.
 
-        Danger: what is passed on faster than it is taken waits here, and would be cut off at the end."""
+        Connections that are passed on faster than the peer receives them wait in the channel, and would be
+        cut off if this process ended before."""
         try:
             return self._channel.flush()
         except OSError:
             return True
 
-    async def room(self) -> bool:
-        """Wait until more may be passed on; whether it may.
+    async def wait_for_room(self) -> bool:
+        """Wait up to a heartbeat interval until more connections may be passed on; return whether they may.
 
-        Danger: a connection on its way to a process that stalls is nobody's until that wakes."""
-        if self.side is None:
+        A connection on its way to a process that stalls is served by nobody until that process wakes."""
+        if self.right_state is None:
             return True
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
-                while self._out >= AT_ONCE:
+                while self._unconfirmed >= MAX_UNCONFIRMED:
                     self._confirmed.clear()
                     await self._confirmed.wait()
-        return self._out < AT_ONCE
+        return self._unconfirmed < MAX_UNCONFIRMED
 
     def pass_on(
         self, passed: messages.PassedConnection, client: socket.socket, server: socket.socket
     ) -> bool:
-        """Danger: a connection that the new process holds must not be told as ended here."""
+        """Send the peer an established connection with its sockets; return whether that was possible.
+
+        It is forgotten here as reported, since a connection that the newer peer holds must not be reported as
+        ended."""
         if not self.can_receive_connections:
             return False
         try:
             self._channel.send(messages.encode_passed(passed), client.dup(), server.dup())
         except OSError as error:
-            logger.warning("hand-over: {}", error)
+            logger.warning("can't pass a connection on to the new process: {}", error)
             return False
-        self._out += 1
-        self._told.pop(passed.held.id, None)
+        self._unconfirmed += 1
+        self._reported.pop(passed.held.id, None)
         return True
--- a/switchhub/handover/messages.py
+++ b/switchhub/handover/messages.py
@@ -1,17 +1,31 @@
-"""What passes between an old and a new process, as text and back.
-
-Owns: the form and its number. Must never: do I/O, or trust what it reads: the other side may be any version.
-
-    new -> old   ask (form, listen), take (which queue, generation), got (a connection that was passed)
-    old -> new   listener (generation), or no (why); known (discovery, list), held (connections), yours (what
-                 was learnt); then, as things change, pass (one connection)
-                 join (form, listen, queue, born) comes first from an old one that has lost its newer process
-    both         held, ended (ids), sent (to cold servers), as things change; right, beat (`accept_right.py`)
-
-One that speaks the form without the right says no generation and no queue; then it is as it was without.
-
-Sockets travel beside a message: the listening one with `listener`, a client's and its server's with `pass`.
-Names stand for classes, tenants, zones and kinds: an index means something to one process only.
+"""Encodes and decodes the messages between an old and a new process of one balancer, as JSON objects.
+
+Owns: the message format and its version. Must never: do I/O, or trust what it decodes: the peer may run any
+version of the program.
+
+The key `is` names the kind of a message:
+
+    new -> old   ask       starts a handover: format version (form), clients' address (listen)
+                 take      takes over: the accept queue that it listens on (queue), generation of its claim
+                 got       confirms one connection that was passed on
+    old -> new   listener  answers `ask`: the generation known, with the listening socket attached
+                 no        turns `ask` down: reason (why); a new process turns `join` down with it
+                 known     discovery address and server list
+                 held      connections that the sender holds
+                 yours     learned state of the decision module
+                 pass      passes one connection on, with the client's and the server's socket attached
+                 join      sent first, instead of `ask`, by an old process that has lost its new one: form,
+                           listen, queue, start time of the sender (born)
+    both         held      connections that the sender holds now
+                 ended     ids of connections that the sender no longer holds
+                 sent      load that was sent to cold servers
+                 right     a claim to the right to accept (`accept_right.py`)
+                 beat      a heartbeat (`accept_right.py`)
+
+A process of a version without the right to accept sends no generation and no queue. Toward it, this process
+sends neither claims nor heartbeats, and the newer process alone accepts.
+
+Classes, tenants, zones and kinds go by name, since an index is valid within one process only.
 """
 
 from __future__ import annotations
@@ -25,16 +39,18 @@
 from switchhub.decision.interface import LearnedServer, LearnedState, Request
 
 PROTOCOL_VERSION = 1
-CHUNK = 64  # connections in one message
-MESSAGE_MAX = 1 << 17  # bytes
+CONNECTIONS_PER_MESSAGE = 64
+MAX_MESSAGE_BYTES = 1 << 17
 
 
 class MessageError(ValueError):
-    """A message that is none, or of an unknown form."""
+    """A message is malformed, unexpected or of an unsupported version."""
 
 
 class HeldConnection(NamedTuple):
-    """A connection that the old process holds: being set up or standing."""
+    """A connection that the sending process holds, established or being set up.
+
+    The fields travel as a JSON array, in this order."""
 
     id: str
     class_name: str
@@ -47,130 +63,147 @@
 
 
 class PassedConnection(NamedTuple):
-    """A standing connection on its way: what the new process needs to go on with it."""
+    """The state of an established connection that is passed on to the new process.
+
+    The fields travel under these names. Times are Unix times in milliseconds."""
 
     held: HeldConnection
-    from_client: bytes
-    from_server: bytes  # read and not passed on yet: half a line
-    asked: tuple[float, ...]  # when lines went that wait for an answer
-    heard: float  # when its client last sent something
-    usual: float
-    last: bytes
-    move: bool  # it is to be moved as soon as that can be
+    from_client: bytes  # read from the client, not forwarded yet
+    from_server: bytes  # read from the server, not forwarded yet: an incomplete line
+    asked: tuple[float, ...]  # when the client's lines that still wait for an answer were sent
+    heard: float  # when the client last sent something
+    usual: float  # the usual load of this connection
+    last: bytes  # the first word of the last line that the server sent
+    move: bool  # whether the client is to be moved as soon as possible
 
 
 def encode_message(kind: str, **values: Any) -> bytes:
-    """A message."""
+    """Return a message of this kind with these values."""
     return json.dumps({"is": kind, **values}, separators=(",", ":")).encode()
 
 
 def decode_message(data: bytes) -> tuple[str, dict[str, Any]]:
-    """A message's kind and its values."""
+    """Return a message's kind and values; raise `MessageError` if it has none."""
     try:
         values = json.loads(data)
         kind = values.pop("is")
     except (ValueError, AttributeError, KeyError, TypeError) as error:
-        raise MessageError(f"no message: {type(error).__name__}: {error}") from None
+        raise MessageError(f"malformed message: {type(error).__name__}: {error}") from None
     if not isinstance(kind, str):
-        raise MessageError("no message: its kind is no word")
+        raise MessageError("malformed message: its kind is not a string")
     return kind, values
 
 
 def non_negative_int(value: Any) -> int:
-    """A whole number that is not negative."""
+    """Return the value if it is an integer of at least 0; raise `MessageError` otherwise."""
     if not isinstance(value, int) or value < 0:
-        raise MessageError(f"no number: {value!r}")
+        raise MessageError(f"expected a non-negative integer, got {value!r}")
     return value
 
 
 def encode_held(connections: Iterable[HeldConnection]) -> list[bytes]:
-    """As many messages as it takes."""
-    rows = [list(each) for each in connections]
-    return [encode_message("held", connections=rows[at : at + CHUNK]) for at in range(0, len(rows), CHUNK)]
+    """Return as many `held` messages as these connections need."""
+    rows = [list(connection) for connection in connections]
+    return [
+        encode_message("held", connections=rows[start : start + CONNECTIONS_PER_MESSAGE])
+        for start in range(0, len(rows), CONNECTIONS_PER_MESSAGE)
+    ]
 
 
 def decode_held(values: Mapping[str, Any]) -> list[HeldConnection]:
-    """The connections of such a message."""
+    """Return the connections of a `held` message; raise `MessageError` if one is malformed."""
     try:
-        return [_held(row) for row in values["connections"]]
+        return [_decode_held_row(row) for row in values["connections"]]
     except (KeyError, TypeError, ValueError) as error:
-        raise MessageError(f"held: {type(error).__name__}: {error}") from None
+        raise MessageError(f"malformed held message: {type(error).__name__}: {error}") from None
 
 
-def _held(row: Any) -> HeldConnection:
-    one = HeldConnection(*row)
-    words = (one.id, one.class_name, one.tenant, one.server)
-    if not all(isinstance(each, str) for each in words) or not one.id:
-        raise ValueError("not a connection")
-    hint = None if one.hint is None else float(one.hint)
-    return one._replace(hint=hint, load=float(one.load))
+def _decode_held_row(row: Any) -> HeldConnection:
+    connection = HeldConnection(*row)
+    strings = (connection.id, connection.class_name, connection.tenant, connection.server)
+    if not all(isinstance(string, str) for string in strings) or not connection.id:
+        raise ValueError("expected strings as id, class, tenant and server, and an id that is not empty")
+    hint = None if connection.hint is None else float(connection.hint)
+    return connection._replace(hint=hint, load=float(connection.load))
 
 
 def decode_sent(values: Mapping[str, Any]) -> list[tuple[str, float, float]]:
-    """What was sent to cold servers: which, when, how much."""
+    """Return what was sent to cold servers: server, Unix time in milliseconds, load.
+
+    Raises `MessageError` if the message is malformed or a number in it is not finite."""
     try:
-        told = [(str(server), float(at), float(push)) for server, at, push in values["servers"]]
-        if not all(math.isfinite(at) and math.isfinite(push) for _, at, push in told):
-            raise ValueError("not finite")
-        return told
+        sent = [
+            (str(server), float(sent_at), float(sent_load))
+            for server, sent_at, sent_load in values["servers"]
+        ]
+        if not all(math.isfinite(sent_at) and math.isfinite(sent_load) for _, sent_at, sent_load in sent):
+            raise ValueError("expected finite numbers")
+        return sent
     except (KeyError, TypeError, ValueError) as error:
-        raise MessageError(f"sent: {type(error).__name__}: {error}") from None
+        raise MessageError(f"malformed sent message: {type(error).__name__}: {error}") from None
 
 
-def encode_passed(one: PassedConnection) -> bytes:
-    """One connection on its way."""
-    values = one._asdict()
+def encode_passed(connection: PassedConnection) -> bytes:
+    """Return the `pass` message of a connection."""
+    values = connection._asdict()
     for name in ("from_client", "from_server", "last"):
         values[name] = base64.b64encode(values[name]).decode()
-    return encode_message("pass", **{**values, "held": list(one.held)})
+    return encode_message("pass", **{**values, "held": list(connection.held)})
 
 
 def decode_passed(values: Mapping[str, Any]) -> PassedConnection:
-    """The same, read."""
+    """Return the connection of a `pass` message; raise `MessageError` if it is malformed."""
     try:
         return PassedConnection(
-            held=_held(values["held"]),
+            held=_decode_held_row(values["held"]),
             from_client=base64.b64decode(values["from_client"], validate=True),
             from_server=base64.b64decode(values["from_server"], validate=True),
-            asked=tuple(float(each) for each in values["asked"]),
+            asked=tuple(float(sent_at) for sent_at in values["asked"]),
             heard=float(values["heard"]),
             usual=float(values["usual"]),
             last=base64.b64decode(values["last"], validate=True),
             move=bool(values["move"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MessageError(f"pass: {type(error).__name__}: {error}") from None
+        raise MessageError(f"malformed pass message: {type(error).__name__}: {error}") from None
 
 
-def encode_learnt(learnt: LearnedState) -> list[Any]:
-    """What the module has learnt."""
-    return [*learnt[:-1], [[*each[:-1], list(each.sent)] for each in learnt.servers]]
+def encode_learned_state(learned_state: LearnedState) -> list[Any]:
+    """Return the decision module's learned state as a JSON array."""
+    return [
+        *learned_state[:-1],
+        [[*server_state[:-1], list(server_state.sent)] for server_state in learned_state.servers],
+    ]
 
 
-def decode_learnt(row: Any) -> LearnedState:
-    """The same, read."""
+def decode_learned_state(row: Any) -> LearnedState:
+    """Return the learned state in such an array; raise `MessageError` if it is malformed."""
     try:
-        hint, time, spread, strain_at, servers = row
-        known = tuple(_server_learnt(each) for each in servers)
-        return LearnedState(float(hint), float(time), float(spread), float(strain_at), known)
+        mean_hint, setup_time, setup_deviation, overload_at, servers = row
+        known = tuple(_decode_server_row(server_row) for server_row in servers)
+        return LearnedState(
+            float(mean_hint), float(setup_time), float(setup_deviation), float(overload_at), known
+        )
     except (TypeError, ValueError) as error:
-        raise MessageError(f"learnt: {type(error).__name__}: {error}") from None
+        raise MessageError(f"malformed learned state: {type(error).__name__}: {error}") from None
 
 
-def _server_learnt(row: Any) -> LearnedServer:
-    name, luck, fails, aside_until, limit, limit_at, sent = row
+def _decode_server_row(row: Any) -> LearnedServer:
+    name, rounding_offset, failures, ejected_until, limit, limit_at, sent = row
     return LearnedServer(
         str(name),
-        float(luck),
-        int(fails),
-        float(aside_until),
+        float(rounding_offset),
+        int(failures),
+        float(ejected_until),
         float(limit),
         float(limit_at),
-        tuple((float(at), float(push)) for at, push in sent),
+        tuple((float(sent_at), float(sent_load)) for sent_at, sent_load in sent),
     )
 
 
-def request_of(held: HeldConnection, classes: Mapping[str, int], tenants: Mapping[str, int]) -> Request:
-    """The request as the module counts it. A class or tenant that this process does not know is its first."""
-    index, tenant = classes.get(held.class_name, 0), tenants.get(held.tenant, 0)
-    return Request(held.id, index, 0.0, tenant, held.load or held.hint, held.key, held.group)
+def request_from(held: HeldConnection, classes: Mapping[str, int], tenants: Mapping[str, int]) -> Request:
+    """Return the request that the decision module counts for a connection of the other process.
+
+    A class or tenant that this process does not know counts as its first one."""
+    class_index, tenant_index = classes.get(held.class_name, 0), tenants.get(held.tenant, 0)
+    return Request(held.id, class_index, 0.0, tenant_index, held.load or held.hint, held.key, held.group)
--- a/switchhub/handover/receiver.py
+++ b/switchhub/handover/receiver.py
@@ -1,10 +1,11 @@
-"""The newer process's side: finds the older one, gets the clients' address from it, or from where it lies.
+"""The newer process's side of a handover: finds the older process and takes over the clients' address.
 
-Owns: the way to the older process until the pair stands. Must never: end because of anything that the other
-side says or leaves out: without it, it is a process that starts.
+Owns: the channel to the older process until the `ProcessLink` uses it. Must never: end because of anything
+that the older process sends or leaves out: without a handover this process starts as any other.
 
-Danger: an older process that was stopped answers nobody, and clients wait in its queue. Its listening socket
-is copied from it then (`socket_recovery.py`), or the address is bound again and the kernel's choice led here.
+An older process that was stopped does not answer, while clients wait in its accept queue. Then its listening
+socket is copied from it, or the address is bound again and the kernel directs new connections here
+(`socket_recovery.py`).
 """
 
 from __future__ import annotations
@@ -20,104 +21,132 @@
 from switchhub.handover import messages
 from switchhub.handover.accept_right import STALL_TIMEOUT_S
 from switchhub.handover.channel import Channel
-from switchhub.handover.link import TURN, ProcessLink
+from switchhub.handover.link import TICK_INTERVAL_S, ProcessLink
 
 if TYPE_CHECKING:
     from switchhub.net.listener import Listener
 
-ANSWER_WITHIN = (
-    2.0  # seconds in which an old process that can't be passed over answers; else it is taken as none
-)
+# How long an old process whose listening socket can't be copied may take to answer before this process binds
+# the address itself; also how long to wait for what the old process knows.
+ANSWER_TIMEOUT_S = 2.0
 
 
 class HandoverReceiver:
-    """What this process takes over from the one before it."""
+    """A handover from the older process of this balancer to this one."""
 
     def __init__(
-        self, channel: Channel, sock: socket.socket | None, beats: bool, generation: int, asked: bool
+        self,
+        channel: Channel,
+        listening_socket: socket.socket | None,
+        supports_accept_right: bool,
+        generation: int,
+        answered: bool,
     ) -> None:
-        self._channel, self._beats, self._generation, self._asked = channel, beats, generation, asked
-        # the clients' address; none: it is to be bound, and the other has its own
-        self.listening_socket = sock
+        """`supports_accept_right`: whether the older process's version knows claims and heartbeats;
+        `generation`: the one that it knows; `answered`: whether it answered at all."""
+        self._channel, self._supports_accept_right, self._generation, self._answered = (
+            channel,
+            supports_accept_right,
+            generation,
+            answered,
+        )
+        # At the clients' address. None: this process has to bind the address beside the older one's socket.
+        self.listening_socket = listening_socket
 
     @classmethod
     async def find(cls, path: str, listen: tuple[str, int]) -> HandoverReceiver | None:
-        """The old process and its listening socket, if one is there and speaks this form."""
+        """Return the handover from the process that listens at this Unix socket path.
+
+        Returns nothing if there is none, or if it runs an incompatible version or another address. A process
+        that does not answer counts as stalled, and is taken over from as well."""
         try:
-            channel = Channel.to(path)
+            channel = Channel.connect_to(path)
         except OSError as error:
             logger.debug("no process to take over from: {}", error)
             return None
         try:
-            if not channel.ours():
-                raise messages.MessageError("a process of another user")
+            if not channel.is_same_user():
+                raise messages.MessageError("the old process belongs to another user")
             channel.send(messages.encode_message("ask", form=messages.PROTOCOL_VERSION, listen=list(listen)))
-            hearing = asyncio.create_task(channel.receive())
-            await asyncio.wait((hearing,), timeout=STALL_TIMEOUT_S)
-            if not hearing.done():
-                from switchhub.handover import (
-                    socket_recovery,  # an old process that answers costs nobody its imports
-                )
-
-                if (sock := socket_recovery.copy_listening_socket(channel.pid(), listen)) is not None:
-                    hearing.cancel()
-                    logger.warning("the old process is silent: its clients' address is taken from it")
+            reply = asyncio.create_task(channel.receive())
+            await asyncio.wait((reply,), timeout=STALL_TIMEOUT_S)
+            if not reply.done():
+                # Imported only here, so that a normal start does not pay for it.
+                from switchhub.handover import socket_recovery
+
+                if (sock := socket_recovery.copy_listening_socket(channel.peer_pid(), listen)) is not None:
+                    reply.cancel()
+                    logger.warning(
+                        "the old process did not answer; taking over with a copy of its listening socket"
+                    )
                     return cls(channel, sock, True, 0, False)
-                await asyncio.wait((hearing,), timeout=ANSWER_WITHIN - STALL_TIMEOUT_S)
-            if not hearing.done():
-                hearing.cancel()
-                logger.warning("the old process is silent: its address is bound beside it")
+                await asyncio.wait((reply,), timeout=ANSWER_TIMEOUT_S - STALL_TIMEOUT_S)
+            if not reply.done():
+                reply.cancel()
+                logger.warning(
+                    "the old process did not answer and its listening socket can't be copied; "
+                    "binding the clients' address a second time"
+                )
                 return cls(channel, None, True, 0, False)
-            received = hearing.result()
+            received = reply.result()
             if received is None:
-                raise messages.MessageError("no answer")
+                raise messages.MessageError("the old process closed the channel without an answer")
             (kind, values), sockets = messages.decode_message(received[0]), received[1]
             if kind != "listener" or len(sockets) != 1:
-                raise messages.MessageError(f"{kind} {values}")
-            beats, generation = "generation" in values, messages.non_negative_int(values.get("generation", 0))
+                raise messages.MessageError(f"unexpected answer: {kind} {values}")
+            supports_accept_right, generation = (
+                "generation" in values,
+                messages.non_negative_int(values.get("generation", 0)),
+            )
         except (messages.MessageError, OSError) as error:
-            logger.warning("no hand-over: {}: {}", type(error).__name__, error)
+            logger.warning("no handover, starting without it: {}: {}", type(error).__name__, error)
             channel.close()
             return None
-        return cls(channel, sockets[0], beats, generation, True)
+        return cls(channel, sockets[0], supports_accept_right, generation, True)
 
-    async def take_over(self, node: Listener) -> None:
-        """Take over. Where the old process can be asked, wait until this one knows what it knew."""
+    async def take_over(self, listener: Listener) -> None:
+        """Claim the right to accept, and wait for what the older process knows if it answered at all."""
         link = ProcessLink(
-            node,
+            listener,
             self._channel,
             is_newer=True,
-            beats=self._beats,
+            supports_accept_right=self._supports_accept_right,
             shares_queue=self.listening_socket is not None,
         )
         link.take_over(self._generation)
         following = self._following = asyncio.create_task(self._follow(link))
-        if not self._asked:
-            self._take_nothing_for_granted(node)
-        until = time.monotonic() + (ANSWER_WITHIN if self._asked else 0.0)
-        while not (link.known.is_set() or following.done()) and (now := time.monotonic()) < until:
-            if link.side is not None and link.side.monitor.stalled(now):
-                logger.warning("the old process is silent: taken over without what it knows")
-                self._take_nothing_for_granted(node)
+        if not self._answered:
+            self._assume_cold_budgets_spent(listener)
+        deadline = time.monotonic() + (ANSWER_TIMEOUT_S if self._answered else 0.0)
+        while not (link.state_received.is_set() or following.done()) and (now := time.monotonic()) < deadline:
+            if link.right_state is not None and link.right_state.monitor.is_stalled(now):
+                logger.warning("the old process stalled; taking over without its learned state")
+                self._assume_cold_budgets_spent(listener)
                 break
-            await asyncio.sleep(TURN)
-        logger.info("taken over with {} sessions of the old process", link.remote_connections)
+            await asyncio.sleep(TICK_INTERVAL_S)
+        logger.info("handover received; the old process still holds {} connections", link.remote_connections)
+
+    def _assume_cold_budgets_spent(self, listener: Listener) -> None:
+        """Count every cold server's budget as spent now.
 
-    def _take_nothing_for_granted(self, node: Listener) -> None:
-        """Danger: what the old process sent to a cold server is unknown, and both together push it over: all
-        of its budget counts as spent now."""
-        learnt, now = node.facade.learned_state(), node.clock()
-        servers = tuple(each._replace(sent=((now, math.inf),)) for each in learnt.servers)
-        node.facade.restore_learned_state(now, learnt._replace(servers=servers))
+        It is unknown what the older process has sent to a cold server; both processes together would overload
+        it otherwise."""
+        learned_state, now = listener.facade.learned_state(), listener.clock()
+        servers = tuple(
+            server_state._replace(sent=((now, math.inf),)) for server_state in learned_state.servers
+        )
+        listener.facade.restore_learned_state(now, learned_state._replace(servers=servers))
 
     async def _follow(self, link: ProcessLink) -> None:
         try:
             await link.follow()
         except ConnectionResetError:
-            logger.info("the old process has ended; {} of its sessions went with it", link.lost)
+            logger.info(
+                "the old process has ended; {} of its connections ended with it", link.lost_connections
+            )
 
     async def run(self) -> None:
-        """Follow the old process to its end."""
+        """Follow the older process until it ends."""
         try:
             await self._following
         finally:
--- a/switchhub/lab/faults/launch.py
+++ b/switchhub/lab/faults/launch.py
@@ -40,7 +40,7 @@
             stop(received[0])
         return received
 
-    def refuse(process: int, number: int) -> socket.socket:
+    def refuse(process_fd: int, descriptor: int) -> socket.socket:
         raise PermissionError(1, "refused here")
 
     if way == "refuse":
--- a/tests/test_accept_right.py
+++ b/tests/test_accept_right.py
@@ -1,4 +1,4 @@
-"""The right to accept: every order of events among two and three processes, and mutants that it must find."""
+"""The right to accept: every order of events among two and three processes, and mutants that must fail."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         (3, {"stop": 1, "wake": 1, "kill": 1}, 6_000, False),
     ],
 )
-def test_never_nobody_for_long_and_it_settles_on_the_newest(
+def test_never_without_acceptor_for_long_and_the_newest_process_accepts_in_the_end(
     count: int, budget: dict[str, int], most: int, whole: bool
 ) -> None:
     found = explore(Pairs(count, budget), most, 400)
@@ -27,41 +27,41 @@
     assert found.whole is whole
 
 
-class Forgiving(PeerMonitor):
-    def stalled(self, now: float) -> bool:
+class NeverStalledMonitor(PeerMonitor):
+    def is_stalled(self, now: float) -> bool:
         return False
 
 
-class NeverSuspects(RightState):
+class NeverSuspectsPeer(RightState):
     def __init__(self, now: float, is_newer: bool) -> None:
         super().__init__(now, is_newer)
-        self.monitor = Forgiving(now)
+        self.monitor = NeverStalledMonitor(now)
 
 
-class BlamesOthers(RightState):
-    """Judges before it has read what came while it stood still."""
+class ActsBeforeReading(RightState):
+    """Acts on the time before it has read what arrived while it was stalled."""
 
     def tick(self, now: float, unread: bool) -> RightClaim | None:
         return super().tick(now, False)
 
 
-class Rash(RightState):
-    """Accepts before it has read what came while it stood still."""
+class AcceptsBeforeReading(RightState):
+    """Accepts before it has read what arrived while it was stalled."""
 
     @property
     def accepts(self) -> bool:
         return self.holds_right or not self._peer_accepts
 
 
-class Keeps(RightState):
-    """Never gives it back."""
+class NeverGivesBack(RightState):
+    """Never gives the right back."""
 
     def tick(self, now: float, unread: bool) -> RightClaim | None:
         return None if self.holds_right and self.monitor.tick(now) >= 0 else super().tick(now, unread)
 
 
-class Trusting(RightState):
-    """The newer one does not look after the older one."""
+class NewerNeverWatchesOlder(RightState):
+    """The newer process does not watch the older one."""
 
     def tick(self, now: float, unread: bool) -> RightClaim | None:
         if self.is_newer:
@@ -73,11 +73,11 @@
 @pytest.mark.parametrize(
     ("mutant", "budget", "says"),
     [
-        (NeverSuspects, {"stop": 1}, "nobody accepts"),
-        (BlamesOthers, {"stop": 1, "wake": 1}, "was not"),
-        (Rash, {"stop": 1, "wake": 1}, "a generation that is over"),
-        (Keeps, {"stop": 1, "wake": 1}, "settled on"),
-        (Trusting, {"stop": 2, "wake": 1}, "nobody accepts"),
+        (NeverSuspectsPeer, {"stop": 1}, "nobody accepts"),
+        (ActsBeforeReading, {"stop": 1, "wake": 1}, "was not"),
+        (AcceptsBeforeReading, {"stop": 1, "wake": 1}, "a generation that is over"),
+        (NeverGivesBack, {"stop": 1, "wake": 1}, "settled on"),
+        (NewerNeverWatchesOlder, {"stop": 2, "wake": 1}, "nobody accepts"),
     ],
 )
 def test_each_guard_is_needed(mutant: type[RightState], budget: dict[str, int], says: str) -> None:
@@ -85,24 +85,24 @@
     assert found.fault is not None and says in found.fault, found
 
 
-def test_one_who_stalls_often_waits_longer_each_time() -> None:
+def test_regain_delay_doubles_with_each_stall() -> None:
     side, now = RightState(0.0, False), 0.0
-    waits: list[float] = []
+    delays: list[float] = []
     side.receive_claim(now, RightClaim(1, True))
     for _ in range(6):
         while side.newer_holds:
             now += 0.05
             side.tick(now, False)
-        began = now
+        given_away_at = now
         while not side.newer_holds:
             now += 0.05
             side.receive_heartbeat(now, Heartbeat(side.generation, True, 0.0, False))
             side.tick(now, False)
-        waits.append(round(now - began, 1))
-    assert waits == pytest.approx([0.55, 1.05, 2.05, 4.05, 8.05, 8.05], abs=0.06)
+        delays.append(round(now - given_away_at, 1))
+    assert delays == pytest.approx([0.55, 1.05, 2.05, 4.05, 8.05, 8.05], abs=0.06)
 
 
-def test_a_loop_that_stands_while_its_process_beats_is_given_longer() -> None:
+def test_stalled_main_loop_has_a_longer_timeout_while_heartbeats_arrive() -> None:
     side = RightState(0.0, False)
     side.receive_claim(0.0, RightClaim(1, True))
     side.receive_heartbeat(0.01, Heartbeat(1, True, 0.0, False))
@@ -112,10 +112,10 @@
         if side.tick(now, False) is not None:
             assert now == pytest.approx(accept_right.LOOP_STALL_TIMEOUT_S)
             return
-    raise AssertionError("never")
+    raise AssertionError("the right was never claimed")
 
 
-def test_one_that_leaves_gives_the_right_at_once_and_does_not_get_it_again() -> None:
+def test_process_shutting_down_loses_the_right_at_once_and_for_good() -> None:
     side = RightState(0.0, False)
     side.receive_claim(0.0, RightClaim(1, True))
     side.receive_heartbeat(0.05, Heartbeat(1, True, 0.0, True))
@@ -125,7 +125,7 @@
         assert side.tick(step * 0.05, False) is None
 
 
-def test_a_word_of_a_generation_that_is_over_is_void_and_of_two_claims_the_newer_ones_stands() -> None:
+def test_claim_of_a_lower_generation_is_void_and_the_newer_process_wins_a_tie() -> None:
     older, newer = RightState(0.0, False), RightState(0.0, True)
     newer.take_over(1.0, 0)
     older.receive_claim(1.0, RightClaim(2000, False))
@@ -137,8 +137,8 @@
     assert newer.holds_right
 
 
-def test_a_holder_that_beats_and_does_not_accept_is_not_heard() -> None:
-    """It wakes and is stopped again: its thread beats before its loop turns."""
+def test_heartbeats_of_a_holder_that_does_not_accept_do_not_count() -> None:
+    """The holder wakes and is stopped again: its thread sends a heartbeat before its main loop runs."""
     side = RightState(0.0, False)
     side.receive_claim(0.0, RightClaim(1, True))
     side.receive_heartbeat(0.0, Heartbeat(1, True, 0.0, False))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A new version beside the running process: what passes between the two, and what clients see of it."""
+"""Handover from an old process of a balancer to a new one: the messages, and what clients see of it."""
 
 from __future__ import annotations
 
@@ -31,61 +31,61 @@
     start_balancer,
 )
 
-# The form.
+# The messages.
 
-WORDS = st.text(max_size=8)
-FIGURES = st.floats(0, 1e12)
+SHORT_TEXTS = st.text(max_size=8)
+NUMBERS = st.floats(0, 1e12)
 HELD = st.builds(
     messages.HeldConnection,
     id=st.text(min_size=1, max_size=8),
-    class_name=WORDS,
-    tenant=WORDS,
-    key=st.none() | WORDS,
-    group=st.none() | WORDS,
-    hint=st.none() | FIGURES,
-    server=WORDS,
-    load=FIGURES,
+    class_name=SHORT_TEXTS,
+    tenant=SHORT_TEXTS,
+    key=st.none() | SHORT_TEXTS,
+    group=st.none() | SHORT_TEXTS,
+    hint=st.none() | NUMBERS,
+    server=SHORT_TEXTS,
+    load=NUMBERS,
 )
 
 
 @given(st.lists(HELD, max_size=200))
-def test_connections_come_back_as_they_went(held: list[messages.HeldConnection]) -> None:
-    back = []
+def test_held_connections_survive_encoding(held: list[messages.HeldConnection]) -> None:
+    decoded = []
     for message in messages.encode_held(held):
-        assert len(message) < messages.MESSAGE_MAX
+        assert len(message) < messages.MAX_MESSAGE_BYTES
         kind, values = messages.decode_message(message)
         assert kind == "held"
-        back += messages.decode_held(values)
-    assert back == held
+        decoded += messages.decode_held(values)
+    assert decoded == held
 
 
 @given(
-    HELD, st.binary(max_size=4096), st.binary(max_size=4096), st.lists(FIGURES, max_size=16), st.booleans()
+    HELD, st.binary(max_size=4096), st.binary(max_size=4096), st.lists(NUMBERS, max_size=16), st.booleans()
 )
-def test_a_passed_connection_comes_back_as_it_went(
-    held: messages.HeldConnection, up: bytes, down: bytes, asked: list[float], move: bool
+def test_passed_connection_survives_encoding(
+    held: messages.HeldConnection, up: bytes, down: bytes, asked_at: list[float], move: bool
 ) -> None:
-    passed = messages.PassedConnection(held, up, down, tuple(asked), 5.0, 7.5, b"UP", move)
+    passed = messages.PassedConnection(held, up, down, tuple(asked_at), 5.0, 7.5, b"UP", move)
     message = messages.encode_passed(passed)
     kind, values = messages.decode_message(message)
-    assert kind == "pass" and len(message) < messages.MESSAGE_MAX
+    assert kind == "pass" and len(message) < messages.MAX_MESSAGE_BYTES
     assert messages.decode_passed(values) == passed
 
 
-def test_what_was_learnt_comes_back_as_it_went() -> None:
+def test_learned_state_survives_encoding() -> None:
     servers = (
         LearnedServer("s1", 0.5, 2, 7.0, float("inf"), 0.0, ()),
         LearnedServer("s2", 0.1, 0, 0.0, 900.0, 5.0, ((1.0, 2.0), (3.0, 4.0))),
     )
-    learnt = LearnedState(12.5, 30.0, 4.0, float("-inf"), servers)
+    learned_state = LearnedState(12.5, 30.0, 4.0, float("-inf"), servers)
     _, values = messages.decode_message(
-        messages.encode_message("yours", learnt=messages.encode_learnt(learnt))
+        messages.encode_message("yours", learnt=messages.encode_learned_state(learned_state))
     )
-    assert messages.decode_learnt(values["learnt"]) == learnt
+    assert messages.decode_learned_state(values["learnt"]) == learned_state
 
 
 @given(st.binary(max_size=200))
-def test_whatever_comes_is_a_message_or_said_to_be_none(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_raise_message_error(data: bytes) -> None:
     with contextlib.suppress(messages.MessageError):
         messages.decode_message(data)
 
@@ -93,26 +93,26 @@
 @pytest.mark.parametrize(
     "values", [{}, {"connections": 3}, {"connections": [[1]]}, {"connections": [[""] * 8]}]
 )
-def test_connections_that_are_none_are_said_to_be_none(values: dict[str, Any]) -> None:
+def test_malformed_values_raise_message_error(values: dict[str, Any]) -> None:
     with pytest.raises(messages.MessageError):
         messages.decode_held(values)
     with pytest.raises(messages.MessageError):
         messages.decode_passed(values)
     with pytest.raises(messages.MessageError):
-        messages.decode_learnt(values)
+        messages.decode_learned_state(values)
 
 
-def test_a_path_that_is_too_long_is_none() -> None:
+def test_socket_path_is_empty_without_a_folder_or_when_too_long() -> None:
     assert socket_path("", "n0") == ""
     assert socket_path("/tmp", "a/../b") == "/tmp/switchhub-a%2F..%2Fb.sock"
     assert socket_path("/tmp/" + "x" * 100, "n0") == ""
 
 
-# The program.
+# Handovers between processes of the program.
 
 
-async def beside(program: BalancerProcess, **environ: str) -> BalancerProcess:
-    """A new process at the same clients' address."""
+async def start_beside(program: BalancerProcess, **environ: str) -> BalancerProcess:
+    """Start a new process at the same clients' address."""
     config = {**json.loads(program.config_file.read_text()), "listen": f"127.0.0.1:{program.port}"}
     file = program.config_file.parent / "next.json"
     file.write_text(json.dumps(config))
@@ -123,8 +123,8 @@
 
 @contextlib.asynccontextmanager
 async def upgrade(program: BalancerProcess, **environ: str) -> AsyncIterator[BalancerProcess]:
-    """A new process that is ready, ended with the block."""
-    new = await beside(program, **environ)
+    """A new process that is ready; it is checked and killed at the end of the block."""
+    new = await start_beside(program, **environ)
     try:
         assert (await new.call("GET /healthcheck"))[0] == 200
         yield new
@@ -135,16 +135,16 @@
             await new.process.wait()
 
 
-async def gone(program: BalancerProcess) -> None:
-    """Told to stop, it ends by itself and in order."""
+async def stop_in_order(program: BalancerProcess) -> None:
+    """Tell the process to stop and check that it ends by itself, without an error."""
     program.process.terminate()
     async with asyncio.timeout(TIMEOUT_S):
         assert await program.process.wait() == 0
     await assert_clean_exit(program)
 
 
-def test_standing_connections_go_on_in_the_new_process(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_established_connections_continue_in_the_new_process(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("a")
         async with running_balancer(tmp_path, server, management=True) as (old, _):
             clients = [await old.connect() for _ in range(20)]
@@ -154,9 +154,9 @@
             async with upgrade(old) as new:
                 assert (await old.call("GET /healthcheck")) == (503, "giving way to a new version\n")
                 assert (await old.call("PUT /healthcheck/ok"))[0] == 409
-                begun = asyncio.get_running_loop().time()
-                await gone(old)
-                assert asyncio.get_running_loop().time() - begun < 1.0
+                began_at = asyncio.get_running_loop().time()
+                await stop_in_order(old)
+                assert asyncio.get_running_loop().time() - began_at < 1.0
                 clients[0].send(b"lf\r\n")
                 server.streams[1][1].write(b"f\r\n")
                 assert await clients[0].read_line() == b"M half\r\n"
@@ -175,13 +175,13 @@
                 again.send(b"M 2\r\n")
                 assert await again.read_line() == b"M 2\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_new_process_counts_what_the_old_one_holds(tmp_path: Path) -> None:
-    """Without the hand-over's sums, the new process fills both servers alike."""
+def test_new_process_counts_the_connections_of_the_old_one(tmp_path: Path) -> None:
+    """Without the load sums from the handover, the new process would place the same load on both servers."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         servers = FakeServer("a"), FakeServer("b")
         async with running_balancer(tmp_path, *servers, management=True) as (old, discovery):
             await discovery.change("b", "Terminating")
@@ -193,7 +193,7 @@
                 for count in range(1, 11):
                     clients.append(await new.connect(",h=100"))
                     assert len(servers[1].first_lines) == count
-                await gone(old)
+                await stop_in_order(old)
                 for client in clients[:10]:  # the sums fall as they end
                     client.writer.close()
                 async with asyncio.timeout(TIMEOUT_S):
@@ -204,11 +204,11 @@
                     await new.connect(",h=100")
                 assert len(servers[0].first_lines) >= before + 7
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_id_that_the_old_process_holds_is_taken(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_id_in_use_at_the_old_process_is_rejected(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.client()
             client.send(b"OPEN 00aa key c=any,t=acme,d=2000\r\n")
@@ -218,25 +218,27 @@
                 other.send(b"OPEN 00aa key c=any,t=acme,d=2000\r\n")
                 assert await other.read_line() == b"ERR\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_id_that_a_stalled_new_process_holds_is_taken(
+def test_id_in_use_at_a_stalled_new_process_is_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is stopped, not dead: its attempt may still be out, and it may answer once it wakes (rules 1, 2)."""
+    """The process is stopped, not dead: its attempt may still run at a server and be answered later.
+
+    A second attempt could run the request twice, or answer it twice."""
     monkeypatch.setenv("SWITCHHUB_LOG", "DEBUG")
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = FakeServer("a")
         async with running_balancer(tmp_path, server, management=True) as (old, _), upgrade(old) as new:
-            for number in range(100):  # the old one may accept for a moment after the new one is ready
+            for number in range(100):  # the old process may accept for a moment after the new one is ready
                 held, client = f"00bb{number:02}", await new.client()
                 client.send(b"OPEN %s key c=pay,t=acme,d=2000\r\n" % held.encode())
                 assert (await client.read_line()).startswith(b"UP ")
                 if "taken" not in await old.wait_for_log(f" {held} "):
                     break
-            await old.wait_for_log(f"{held} is the new process's")
+            await old.wait_for_log(f"connection {held} is held by the new process")
             new.process.send_signal(signal.SIGSTOP)
             await old.wait_for_log("the new process is silent")
             other = await old.client()
@@ -244,16 +246,16 @@
             assert await other.read_line() == b"ERR\r\n"
             await old.connect()
             new.process.send_signal(signal.SIGCONT)
-            await old.wait_for_log("the new process accepts from now on")
+            await old.wait_for_log("the new process holds the right to accept from now on")
             client.send(b"M 1\r\n")
             assert await client.read_line() == b"M 1\r\n"
             assert len([line for line in server.first_lines if held.encode() in line]) == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_is_being_set_up_stays_with_the_old_process_and_follows(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_request_in_setup_stays_with_the_old_process_and_is_passed_on_later(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("a", "silent")
         async with running_balancer(tmp_path, server, management=True) as (old, _):
             client = await old.open(kind="pay")
@@ -273,30 +275,30 @@
                 assert await client.read_line() == b"hello\r\n"
                 assert len(server.first_lines) == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_who_does_not_take_what_is_written_is_moved_and_the_rest_goes_on(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_client_that_does_not_read_is_moved_and_the_others_continue(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("a")
         async with running_balancer(tmp_path, server, management=True) as (old, _):
-            deaf, client = await old.connect(), await old.connect()
-            deaf.reader._transport.pause_reading()  # type: ignore[attr-defined]
+            client_not_reading, client = await old.connect(), await old.connect()
+            client_not_reading.reader._transport.pause_reading()  # type: ignore[attr-defined]
             for _ in range(4000):
                 server.streams[0][1].write(b"x" * 2000 + b"\r\n")
             async with upgrade(old) as new:
-                await gone(old)
+                await stop_in_order(old)
                 client.send(b"M 1\r\n")
                 assert await client.read_line() == b"M 1\r\n"
                 assert (await new.metrics())["concurrent"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_new_process_that_is_slow_to_take_loses_nobody(tmp_path: Path) -> None:
-    """More is passed on than the channel holds: the old process waits until it is taken."""
+def test_new_process_that_receives_slowly_loses_no_connection(tmp_path: Path) -> None:
+    """More is passed on than the channel's buffer holds: the old process waits for the new one."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         servers = [FakeServer(name) for name in "ab"]
         async with running_balancer(tmp_path, *servers, management=True, sockets=4096) as (old, _):
             clients = [await old.connect() for _ in range(500)]
@@ -316,21 +318,21 @@
                 for client in clients:
                     assert await client.read_line() == b"M 1\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_new_process_that_dies_gives_the_address_back(tmp_path: Path) -> None:
-    """Before the old one was told to stop; it serves on, its connections never left it."""
+def test_old_process_serves_again_when_the_new_one_dies(tmp_path: Path) -> None:
+    """The new process dies before the old one was told to stop: the old one still has its connections."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.connect()
             path = socket_path(str(tmp_path), "n0")
             before = os.stat(path).st_ino
-            new = await beside(old)
-            await old.wait_for_log("giving way")
+            new = await start_beside(old)
+            await old.wait_for_log("handing over to a new process")
             async with asyncio.timeout(TIMEOUT_S):
-                while os.stat(path).st_ino == before:  # until the new one has taken the meeting place too
+                while os.stat(path).st_ino == before:  # until the new process listens at the path too
                     await asyncio.sleep(0.01)
             new.process.kill()
             await new.process.wait()
@@ -340,12 +342,12 @@
             client.send(b"M 1\r\n")
             assert await client.read_line() == b"M 1\r\n"
             async with upgrade(old) as third:
-                await gone(old)
+                await stop_in_order(old)
                 client.send(b"M 2\r\n")
                 assert await client.read_line() == b"M 2\r\n"
                 assert (await third.metrics())["concurrent"] == 1 + len(kept)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -388,29 +390,29 @@
         ),
     ],
 )
-def test_a_stranger_at_the_meeting_place_changes_nothing(tmp_path: Path, words: list[bytes]) -> None:
-    async def play() -> None:
+def test_invalid_messages_on_the_handover_socket_change_nothing(tmp_path: Path, words: list[bytes]) -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.connect()
-            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
-                stranger.connect(socket_path(str(tmp_path), "n0"))
+            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as intruder:
+                intruder.connect(socket_path(str(tmp_path), "n0"))
                 for word in words:
-                    stranger.send(word.replace(b'"PORT"', str(old.port).encode()))
-                await old.wait_for_log("hand-over: ")
+                    intruder.send(word.replace(b'"PORT"', str(old.port).encode()))
+                await old.wait_for_log("handover aborted: ")
             async with asyncio.timeout(TIMEOUT_S):
                 while (await old.call("GET /healthcheck"))[0] != 200:
                     await asyncio.sleep(0.01)
             await old.connect()
             async with upgrade(old):
-                await gone(old)
+                await stop_in_order(old)
                 client.send(b"M 1\r\n")
                 assert await client.read_line() == b"M 1\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_old_process_killed_while_it_holds_connections_leaves_no_sums(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_connections_of_a_killed_old_process_leave_no_load(tmp_path: Path) -> None:
+    async def scenario() -> None:
         servers = FakeServer("a"), FakeServer("b")
         async with running_balancer(tmp_path, *servers, management=True) as (old, _):
             clients = [await old.connect(",h=100") for _ in range(6)]
@@ -418,7 +420,7 @@
                 old.killed = True
                 old.process.kill()
                 await old.process.wait()
-                await new.wait_for_log("the old process has ended; 6 of its sessions went with it")
+                await new.wait_for_log("the old process has ended; 6 of its connections ended with it")
                 for client in clients:
                     with contextlib.suppress(ConnectionError):
                         await client.read_to_end()
@@ -426,11 +428,11 @@
                 assert (await new.metrics())["concurrent"] == len(kept)
                 assert {len(server.first_lines) for server in servers} == {3 + 2}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def old_form(path: str) -> socket.socket:
-    """A process that speaks another form."""
+def listen_as_other_version(path: str) -> socket.socket:
+    """A listening socket like that of a process with another protocol version."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.bind(path)
     sock.listen(4)
@@ -438,11 +440,11 @@
 
 
 @pytest.mark.parametrize("there", ["nothing", "stale", "foreign", "other form", "no number", "long"])
-def test_without_a_hand_over_the_address_is_shared(tmp_path: Path, there: str) -> None:
-    """No `$TMPDIR` in common, or something else at the path: the kernel deals out new clients to both, and
-    the old process moves those that it holds."""
+def test_address_is_shared_when_no_handover_is_possible(tmp_path: Path, there: str) -> None:
+    """Without a common `$TMPDIR`, or with something else at the path, the kernel distributes new clients
+    to both processes, and the old process moves its own when it is told to stop."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.connect()
             folder = tmp_path / ("x" * 120 if there == "long" else "other")
@@ -450,29 +452,32 @@
             path = socket_path(str(folder), "n0")
             other = None
             if there == "stale":
-                old_form(path).close()
+                listen_as_other_version(path).close()
             elif there == "foreign":
                 Path(path).write_text("mine")
             elif there in ("other form", "no number"):
-                other = old_form(path)
+                other = listen_as_other_version(path)
                 other.setblocking(False)
 
-                async def answer(sock: socket.socket) -> None:
+                async def answer_ask(sock: socket.socket) -> None:
                     loop = asyncio.get_running_loop()
-                    theirs, _ = await loop.sock_accept(sock)
-                    await loop.sock_recv(theirs, 4096)  # closed unread, the other hears a reset and no answer
-                    if there == "no number":  # danger: what it says must not end the one that starts
-                        told = messages.encode_message("listener", generation=-1)
-                        socket.send_fds(theirs, [told], [other.fileno()])
+                    accepted, _ = await loop.sock_accept(sock)
+                    # Read first: the peer of a socket closed unread gets a reset in place of the answer.
+                    await loop.sock_recv(accepted, 4096)
+                    if there == "no number":  # an invalid answer must not end the process that starts
+                        listener_message = messages.encode_message("listener", generation=-1)
+                        socket.send_fds(accepted, [listener_message], [other.fileno()])
                     else:
-                        theirs.send(messages.encode_message("no", why="another form"))
-                    theirs.close()
+                        accepted.send(messages.encode_message("no", why="another form"))
+                    accepted.close()
 
-                told = asyncio.create_task(answer(other))
+                answering = asyncio.create_task(answer_ask(other))
             async with upgrade(old, TMPDIR=str(folder)) as new:
                 if other is not None:
                     await new.wait_for_log(
-                        "MessageError: no" if there == "other form" else "MessageError: no number: -1"
+                        "MessageError: unexpected answer: no"
+                        if there == "other form"
+                        else "MessageError: expected a non-negative integer, got -1"
                     )
                 kept = [await new.connect() for _ in range(6)]
                 old.process.terminate()
@@ -483,54 +488,54 @@
                 if there == "foreign":
                     assert Path(path).read_text() == "mine"
                 if other is not None:
-                    await told
+                    await answering
             if other is not None:
                 other.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_file_that_is_no_socket_stays_and_a_stale_one_is_replaced(tmp_path: Path) -> None:
+def test_regular_file_is_kept_and_stale_socket_is_replaced(tmp_path: Path) -> None:
     path = tmp_path / "meet"
     path.write_text("mine")
     sender = HandoverSender(None, str(path))  # type: ignore[arg-type]
     with pytest.raises(OSError, match="expected a socket"):
-        sender._offer()
+        sender._listen_at_path()
     assert path.read_text() == "mine"
     path.unlink()
-    old_form(str(path)).close()
-    sender._offer()
+    listen_as_other_version(str(path)).close()
+    sender._listen_at_path()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.connect(str(path))
-    HandoverSender(None, str(path))._offer()  # type: ignore[arg-type]
+    HandoverSender(None, str(path))._listen_at_path()  # type: ignore[arg-type]
     sender.close()
-    assert path.exists()  # by now another's
+    assert path.exists()  # it is the second sender's by now
 
 
-class Steady:
-    """Clients that come and go and speak all the time; what became of them.
+class SteadyClients:
+    """Clients that connect, send lines and leave all the time, with counts of what became of them.
 
-    Their ids have a first half of their own, 1 and up: the rig's are 0 there. An id that another connection
-    has open is told `ERR`, rightly, and would count as refused here."""
+    The first half of their ids is 1 or more, since it is 0 in the ids of the rig's clients: an id that
+    another connection has open is answered `ERR`, and would count as refused here."""
 
     def __init__(self, port: int) -> None:
-        self.port, self.going = port, True
+        self.port, self.active = port, True
         self.counts = dict.fromkeys(("up", "door", "refused", "lost", "moved", "lines", "twice"), 0)
 
-    async def one(self, number: int) -> None:
+    async def run_client(self, number: int) -> None:
         counts, at = self.counts, 0
-        while self.going:
+        while self.active:
             at += 1
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 writer.write(b"OPEN %08x%08x key c=any,t=acme,d=2000\r\n" % (number + 1, at))
                 async with asyncio.timeout(TIMEOUT_S):
-                    told = await reader.readline()
+                    answer = await reader.readline()
             except (ConnectionError, TimeoutError):
                 counts["door"] += 1
                 continue
-            if not told.startswith(b"UP "):
-                counts["door" if not told else "refused"] += 1
+            if not answer.startswith(b"UP "):
+                counts["door" if not answer else "refused"] += 1
                 continue
             counts["up"] += 1
             for line in range(12):
@@ -539,9 +544,9 @@
                 await asyncio.sleep(0.002)
                 writer.write(text[3:])
                 async with asyncio.timeout(TIMEOUT_S):
-                    back = await reader.readline()
-                if back != text:
-                    counts["moved" if back == b"MOVE\r\n" else "twice" if back[:3] == b"UP " else "lost"] += 1
+                    echo = await reader.readline()
+                if echo != text:
+                    counts["moved" if echo == b"MOVE\r\n" else "twice" if echo[:3] == b"UP " else "lost"] += 1
                     break
                 counts["lines"] += 1
                 await asyncio.sleep(0.01)
@@ -549,28 +554,28 @@
 
 
 def test_ten_upgrades_in_a_row_under_steady_connects(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         servers = [FakeServer(name) for name in "abc"]
-        # The stand-in servers live in this process, which stands still while it forks the next balancer: with
-        # an aim of 50 ms that is strain, for which clients are moved and refused, rightly, whoever upgrades.
-        told = settings()
-        told["FamilyInfo"]["MessageAim"] = [TIMEOUT_S * 1000.0] * 2
+        # The fake servers run in this process, which is blocked while it forks the next balancer. With the
+        # message aim of 50 ms that counts as overload, and clients would be moved and refused for it.
+        deployment = settings()
+        deployment["FamilyInfo"]["MessageAim"] = [TIMEOUT_S * 1000.0] * 2
         async with running_balancer(
-            tmp_path, *servers, deployment_settings=told, management=True, sockets=4096
+            tmp_path, *servers, deployment_settings=deployment, management=True, sockets=4096
         ) as (first, _):
-            steady = Steady(first.port)
-            clients = [asyncio.create_task(steady.one(number)) for number in range(20)]
-            standing: list[Client] = [await first.connect() for _ in range(20)]
+            steady = SteadyClients(first.port)
+            clients = [asyncio.create_task(steady.run_client(number)) for number in range(20)]
+            established: list[Client] = [await first.connect() for _ in range(20)]
             async with contextlib.AsyncExitStack() as stack:
                 present = first
                 for _ in range(10):
                     new = await stack.enter_async_context(upgrade(present))
-                    await gone(present)
+                    await stop_in_order(present)
                     present = new
-                for client in standing:
+                for client in established:
                     client.send(b"M 1\r\n")
                     assert await client.read_line() == b"M 1\r\n"
-                steady.going = False
+                steady.active = False
                 await asyncio.gather(*clients)
                 counts = steady.counts
                 assert counts["up"] > 100 and counts["lines"] > 1000
@@ -583,14 +588,14 @@
                 }
                 assert not [each for each in os.listdir(tmp_path) if ".sock." in each]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_second_upgrade_while_the_first_process_still_leaves(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_second_upgrade_while_the_first_process_is_still_stopping(tmp_path: Path) -> None:
+    async def scenario() -> None:
         server = FakeServer("a", "silent")
         async with running_balancer(tmp_path, server, management=True) as (first, _):
-            waits = await first.open()
+            waiting = await first.open()
             async with asyncio.timeout(TIMEOUT_S):
                 while not server.first_lines:
                     await asyncio.sleep(0.01)
@@ -603,7 +608,7 @@
                     second.process.terminate()
                     await second.wait_for_log("stopping with")
                     server.streams[0][1].write(b"UP a-1\r\n")
-                    assert await waits.read_line() == b"UP a-1\r\n"
+                    assert await waiting.read_line() == b"UP a-1\r\n"
                     async with asyncio.timeout(TIMEOUT_S):
                         assert await first.process.wait() == 0
                         assert await second.process.wait() == 0
@@ -611,59 +616,59 @@
                     assert await client.read_line() == b"M 1\r\n"
                     assert (await third.metrics())["concurrent"] >= 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_process_that_took_over_goes_on_while_the_next_one_asks(tmp_path: Path) -> None:
-    """Danger: a descriptor's flags are one for all processes that share it. Where one of them makes the
-    listening socket wait, this one stands still from the next client until the one after that."""
+def test_process_that_took_over_keeps_serving_while_the_next_one_asks(tmp_path: Path) -> None:
+    """All processes that share a socket share its status flags. If one of them set the listening socket to
+    blocking, this process would be blocked from the next client until the one after that."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (first, _):
             client = await first.connect()
             async with upgrade(first) as second:
-                await gone(first)
-                asks = Channel.to(socket_path(str(tmp_path), "n0"))
-                asks.send(
+                await stop_in_order(first)
+                asking = Channel.connect_to(socket_path(str(tmp_path), "n0"))
+                asking.send(
                     messages.encode_message(
                         "ask", form=messages.PROTOCOL_VERSION, listen=["127.0.0.1", second.port]
                     )
                 )
-                received = await asks.receive()
+                received = await asking.receive()
                 assert received is not None and len(received[1]) == 1
                 await second.connect()
                 client.send(b"M 1\r\n")
                 assert await client.read_line() == b"M 1\r\n"
                 received[1][0].close()
-                asks.close()
+                asking.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_socket_that_travels_does_not_wait_on_either_side(tmp_path: Path) -> None:
-    async def play() -> None:
-        ways = [Channel(each) for each in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)]
+def test_passed_socket_is_non_blocking_on_both_sides(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        channels = [Channel(each) for each in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)]
         listening = socket.socket()
         listening.setblocking(False)
         listening.bind(("127.0.0.1", 0))
         listening.listen()
-        ways[0].send(b"x", listening.dup())
-        received = await ways[1].receive()
+        channels[0].send(b"x", listening.dup())
+        received = await channels[1].receive()
         assert received is not None
-        taken = received[1][0]
-        again = taken.dup()  # as it goes to the process after that
-        for each in listening, taken, again:
+        received_socket = received[1][0]
+        duplicate = received_socket.dup()  # as it is sent to the process after that
+        for each in listening, received_socket, duplicate:
             with pytest.raises(BlockingIOError):
                 each.accept()
             each.close()
-        for way in ways:
-            way.close()
+        for channel in channels:
+            channel.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_drain_of_the_old_process_moves_what_it_holds(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_drain_of_the_old_process_moves_its_connections(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.connect()
             async with upgrade(old) as new:
@@ -671,29 +676,29 @@
                 assert await client.read_to_end() == b"MOVE\r\n"
                 assert (await new.call("GET /healthcheck"))[0] == 200
                 await new.connect()
-                await gone(old)
+                await stop_in_order(old)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_drain_of_the_new_process_is_its_own(tmp_path: Path) -> None:
-    """It holds what was passed on, so it moves that; the old one is done."""
+def test_drain_of_the_new_process_moves_the_connections_passed_on(tmp_path: Path) -> None:
+    """The new process holds the connections that were passed on, and moves them; the old one has ended."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.connect()
             async with upgrade(old) as new:
-                await gone(old)
+                await stop_in_order(old)
                 assert (await new.call("PUT /healthcheck/fail"))[0] == 200
                 assert await client.read_to_end() == b"MOVE\r\n"
                 assert (await new.call("PUT /healthcheck/ok"))[0] == 200
                 await new.connect()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_new_process_beside_one_that_stops_already_starts_as_any(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_new_process_beside_a_stopping_one_starts_without_handover(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with running_balancer(tmp_path, FakeServer("a"), management=True) as (old, _):
             client = await old.connect()
             old.process.terminate()
@@ -705,13 +710,13 @@
                 kept = [await new.connect() for _ in range(3)]
                 assert (await new.metrics())["concurrent"] == len(kept)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_list_of_the_old_process_is_the_new_ones(tmp_path: Path) -> None:
-    """What discovery has told holds for both: the new process starts from there and not from its file."""
+def test_new_process_inherits_the_server_list(tmp_path: Path) -> None:
+    """The new process starts from the old one's server list, not from the list in its configuration."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         servers = FakeServer("a"), FakeServer("b")
         async with running_balancer(tmp_path, *servers, management=True) as (old, discovery):
             await discovery.change("b", "Terminating")
@@ -726,14 +731,14 @@
                 assert discovery.queries[calls:] and discovery.queries[-1].startswith(
                     f"index={discovery.version}&"
                 )
-                await gone(old)
+                await stop_in_order(old)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-# Where the platform refuses it.
+# On platforms without fork and Unix sockets.
 
-REFUSED = """
+WITHOUT_FORK_AND_UNIX_SOCKETS = """
 import os, runpy, socket, sys
 
 def refuse(*_args, **_named):
@@ -754,11 +759,11 @@
 
 
 @pytest.mark.parametrize("management", [False, True])
-def test_it_serves_where_there_is_no_fork_and_no_unix_socket(tmp_path: Path, management: bool) -> None:
-    """And where no management address is given, it asks for none."""
+def test_program_serves_without_fork_and_unix_sockets(tmp_path: Path, management: bool) -> None:
+    """Without a management address, the program does not even create a Unix socket."""
 
-    async def play() -> None:
-        command = ("-c", REFUSED)
+    async def scenario() -> None:
+        command = ("-c", WITHOUT_FORK_AND_UNIX_SOCKETS)
         async with running_balancer(tmp_path, FakeServer("a"), management=management, command=command) as (
             program,
             _,
@@ -768,7 +773,7 @@
             assert await client.read_line() == b"M 1\r\n"
             if management:
                 assert (await program.call("GET /healthcheck"))[0] == 200
-                await program.wait_for_log("no hand-over")
+                await program.wait_for_log("handover disabled")
             assert any("Unix socket" in line for line in program.log) is management
             program.process.terminate()
             assert await client.read_to_end() == b"MOVE\r\n"
@@ -776,4 +781,4 @@
                 assert await program.process.wait() == 0
         assert not [each for each in os.listdir(tmp_path) if "sock" in each]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
