--- a/switchhub/decision/__init__.py
+++ b/switchhub/decision/__init__.py
@@ -1,1 +1,1 @@
-"""What the balancer decides, free of any protocol, socket or clock."""
+"""The decisions of a balancer, independent of any protocol, socket or clock."""
--- a/switchhub/decision/facade.py
+++ b/switchhub/decision/facade.py
@@ -1,9 +1,9 @@
-"""The decision module in blocking style: `pick`, `report`, `tick`.
+"""The decision module as blocking calls: `pick`, `report`, `tick`.
 
-Owns: one `Balancer`, the count of each request's attempts, decisions not yet fetched and timers not yet due.
-Must never: decide anything, do I/O, read a clock, or let an event or an action of the module out. It
-translates: what the network saw becomes events in the order told, and what the module answers becomes a pick
-or a chore.
+Owns: one `Balancer`, the count of each request's attempts, decisions not yet fetched and timers not yet
+due. It translates observations into events, in the order in which they are reported, and actions into picks
+and pending actions. It decides nothing, does no I/O, reads no clock, and hides the events and actions from
+its callers.
 """
 
 from __future__ import annotations
@@ -16,13 +16,16 @@
 from switchhub.decision.interface import Request, Result, Server, Settings
 from switchhub.decision.placement import Balancer
 
-TELL_EVERY = 900.0  # milliseconds: a server's delay is told once a second, somewhat less, while it is long
-TOLD_FROM = 1 / 3  # long: over this part of the shortest message aim
+DELAY_REPORT_INTERVAL_MS = 900.0  # a little under a second, so that a long delay is reported every second
+LONG_DELAY_FRACTION = 1 / 3  # of the shortest message aim: a delay from which on it counts as long
 
 
 class Send(NamedTuple):
-    """Set the request up at this server, and wait so many milliseconds at most; what can't be sent `within`
-    so many is not to be sent."""
+    """Set the request up at this server, within `timeout` milliseconds.
+
+    If the connection is ready only `send_within` milliseconds from now or later, the request must not be
+    sent.
+    """
 
     server: str
     timeout: float
@@ -30,34 +33,37 @@
 
 
 class Refused(NamedTuple):
-    """Answer that trying again is harmless, after so many milliseconds (0: whenever)."""
+    """Final answer: trying again is harmless, after so many milliseconds; 0 sets no wait."""
 
     retry_after: float
 
 
 class Failed(NamedTuple):
-    """Answer that it failed, with no promise."""
+    """Final answer: the request failed, and trying again may have a second effect."""
 
 
 Pick = Send | Refused | Failed
 
 
 class Adopted(NamedTuple):
-    """A connection that stood at this server before the start."""
+    """A connection that was open at this server before this process started."""
 
     request: Request
     server: str
 
 
 class Up(NamedTuple):
-    """The present attempt's connection stands."""
+    """The current attempt's connection is established, after `elapsed` milliseconds."""
 
     request: str
     elapsed: float
 
 
 class Ended(NamedTuple):
-    """The present attempt, or the standing connection, has ended; `over`: nothing is owed any more."""
+    """The current attempt, or the open connection, ended after `elapsed` milliseconds.
+
+    `closed`: the request is over, its client gets no further answer.
+    """
 
     request: str
     elapsed: float
@@ -66,49 +72,52 @@
 
 
 class Left(NamedTuple):
-    """The client has gone; the attempt that is out still ends."""
+    """The client has gone; an attempt that is under way is still going to end."""
 
     request: str
 
 
 class Load(NamedTuple):
-    """The present load of a connection, as its server told it."""
+    """The present load of a connection as its server reported it, in microseconds of work a second."""
 
     request: str
     load: float
 
 
 class Delay(NamedTuple):
-    """What a message on this connection took at its server, as measured."""
+    """How long a message on this connection took at its server, in milliseconds."""
 
     request: str
     delay: float
 
 
 class ServerList(NamedTuple):
-    """The list of servers, or changes to it."""
+    """The server list, or changes to it."""
 
     kind: api.ServerListKind
     servers: tuple[Server, ...]
 
 
 class ServerListLost(NamedTuple):
-    """A call to discovery failed or a watch broke."""
+    """A call to discovery failed, or a watch broke off."""
 
 
 Observation = Adopted | Up | Ended | Left | Load | Delay | ServerList | ServerListLost
 
 
 class PendingActions(NamedTuple):
-    """What the module wants done now."""
+    """What the caller is to do now."""
 
     moves: list[str]
+    """Requests whose connections are to be closed, so that their clients connect anew."""
     watch: bool
+    """Whether to call discovery for the server list and its changes."""
     notes: list[str]
+    """Lines for the log."""
 
 
-class _Held:
-    """A request that the module holds: its present attempt, where that is, and a decision not yet fetched."""
+class _TrackedRequest:
+    """A request that the decision module holds: its current attempt, and a decision not yet fetched."""
 
     __slots__ = ("attempt", "decision", "server")
 
@@ -119,124 +128,150 @@
 
 
 class Facade:
-    """One balancer's decisions. Times are milliseconds; each call says what time it is."""
+    """One balancer's decisions. Times are milliseconds; each call is given the present time."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
+        """Start the balancer; the seed determines every random choice."""
         self._balancer = Balancer(settings, seed)
-        self._held: dict[str, _Held] = {}
+        self._requests: dict[str, _TrackedRequest] = {}
         self._timers: list[tuple[float, int]] = []
-        self._told: dict[str, float] = {}  # when a server's long delay was told last
-        self._long = TOLD_FROM * min((each.message_aim for each in settings.classes), default=0.0)
-        self._chores = PendingActions([], False, [])
+        self._delay_reported_at: dict[str, float] = {}  # by server, while its delay is long
+        self._long_delay = LONG_DELAY_FRACTION * min(
+            (each.message_aim for each in settings.classes), default=0.0
+        )
+        self._pending = PendingActions([], False, [])
         self._carry_out(now, self._balancer.start(now))
 
     def pick(self, now: float, request: Request) -> Pick:
-        """Where the request goes now, or its final answer; asked again after each failed attempt."""
-        held = self._held.get(request.id)
-        if held is None:
-            held = self._held[request.id] = _Held()
+        """The server for the request's next attempt, or its final answer.
+
+        To be called once for a new request, and again after each failed attempt. Raises RuntimeError while
+        an attempt is under way.
+        """
+        tracked = self._requests.get(request.id)
+        if tracked is None:
+            tracked = self._requests[request.id] = _TrackedRequest()
             self._handle(now, api.RequestArrived(request))
-        decision, held.decision = held.decision, None
+        decision, tracked.decision = tracked.decision, None
         if decision is None:
-            raise RuntimeError(f"no decision on {request.id}: an attempt is still out")
+            raise RuntimeError(f"no decision on request {request.id}: its last attempt has not ended")
         if not isinstance(decision, Send):
-            del self._held[request.id]
+            del self._requests[request.id]
         return decision
 
-    def report(self, now: float, news: Observation) -> None:
-        """Tell what was seen."""
-        if isinstance(news, ServerList):
-            self._handle(now, api.ServerListChanged(news.kind, news.servers))
-        elif isinstance(news, ServerListLost):
+    def report(self, now: float, observation: Observation) -> None:
+        """Pass on what the network observed. Raises KeyError for a request that is not held."""
+        if isinstance(observation, ServerList):
+            self._handle(now, api.ServerListChanged(observation.kind, observation.servers))
+        elif isinstance(observation, ServerListLost):
             self._handle(now, api.ServerListFailed())
-        elif isinstance(news, Adopted):
-            held = self._held[news.request.id] = _Held()
-            held.attempt, held.server = 0, news.server
-            self._handle(now, api.ConnectionAdopted(news.request, news.server))
+        elif isinstance(observation, Adopted):
+            tracked = self._requests[observation.request.id] = _TrackedRequest()
+            tracked.attempt, tracked.server = 0, observation.server
+            self._handle(now, api.ConnectionAdopted(observation.request, observation.server))
         else:
-            held = self._held[news.request]
-            self._report_held(now, news, held)
-
-    def _report_held(self, now: float, news: Up | Ended | Left | Load | Delay, held: _Held) -> None:
-        if isinstance(news, Up):
-            self._handle(now, api.ConnectionUp(news.request, held.attempt, held.server, news.elapsed))
-        elif isinstance(news, Left):
-            self._handle(now, api.ClientLeft(news.request))
-        elif isinstance(news, Load):
-            self._handle(now, api.LoadReported(news.request, held.attempt, held.server, news.load))
-        elif isinstance(news, Delay):
-            if self._worth_telling(now, held.server, news.delay):
-                self._handle(now, api.DelayReported(news.request, held.attempt, held.server, news.delay))
+            tracked = self._requests[observation.request]
+            self._report_on_request(now, observation, tracked)
+
+    def _report_on_request(
+        self, now: float, observation: Up | Ended | Left | Load | Delay, tracked: _TrackedRequest
+    ) -> None:
+        if isinstance(observation, Up):
+            self._handle(
+                now,
+                api.ConnectionUp(observation.request, tracked.attempt, tracked.server, observation.elapsed),
+            )
+        elif isinstance(observation, Left):
+            self._handle(now, api.ClientLeft(observation.request))
+        elif isinstance(observation, Load):
+            self._handle(
+                now,
+                api.LoadReported(observation.request, tracked.attempt, tracked.server, observation.load),
+            )
+        elif isinstance(observation, Delay):
+            if self._must_report_delay(now, tracked.server, observation.delay):
+                self._handle(
+                    now,
+                    api.DelayReported(
+                        observation.request, tracked.attempt, tracked.server, observation.delay
+                    ),
+                )
         else:
-            if news.closed:
-                del self._held[news.request]
+            if observation.closed:
+                del self._requests[observation.request]
             self._handle(
                 now,
                 api.AttemptEnded(
-                    news.request, held.attempt, held.server, news.closed, news.elapsed, news.result
+                    observation.request,
+                    tracked.attempt,
+                    tracked.server,
+                    observation.closed,
+                    observation.elapsed,
+                    observation.result,
                 ),
             )
 
     def tick(self, now: float) -> PendingActions:
-        """Let timers fire; what is to be done since the last call."""
+        """Let due timers fire; the actions that have become pending since the last call."""
         while self._timers and self._timers[0][0] <= now:
             _, token = heapq.heappop(self._timers)
             self._handle(now, api.TimerFired(token))
-        chores, self._chores = self._chores, PendingActions([], False, [])
-        return chores
+        pending, self._pending = self._pending, PendingActions([], False, [])
+        return pending
 
     def server_counts(self, now: float) -> tuple[int, int]:
-        """How many servers are listed, and how many of them get nothing new at present."""
+        """How many servers are listed, and how many of them are draining or ejected at present."""
         return self._balancer.server_counts(now)
 
     def learned_state(self) -> api.LearnedState:
-        """What a new process of this balancer goes on with."""
+        """What this process has learned from its traffic, for the process that succeeds it."""
         return self._balancer.learned_state()
 
     def restore_learned_state(self, now: float, state: api.LearnedState) -> None:
-        """What a former process of this balancer knew."""
+        """Take over what the predecessor of this process learned from its traffic."""
         self._handle(now, state)
 
     def drain_started(self, now: float) -> None:
-        """This balancer gives away what it holds, on purpose."""
+        """A drain of this balancer has started: its connections are going to be moved away."""
         self._handle(now, api.DrainStarted())
 
     def drain_ended(self, now: float) -> None:
-        """It takes its part again."""
+        """The drain is over: this balancer takes its share of connections again."""
         self._handle(now, api.DrainEnded())
 
     def discovery_changed(self, now: float) -> None:
-        """The list is asked for elsewhere from now on."""
+        """Discovery has another address from now on."""
         self._handle(now, api.DiscoveryChanged())
 
-    def _worth_telling(self, now: float, server: str, delay: float) -> bool:
-        """As the wire tells it: once a second while long, and once more when it no longer is."""
-        told = self._told.get(server)
-        if delay < self._long:
-            return self._told.pop(server, None) is not None
-        if told is not None and now - told < TELL_EVERY:
+    def _must_report_delay(self, now: float, server: str, delay: float) -> bool:
+        """Whether the decision module gets this delay: every second while it is long, and its end once."""
+        reported_at = self._delay_reported_at.get(server)
+        if delay < self._long_delay:
+            return self._delay_reported_at.pop(server, None) is not None
+        if reported_at is not None and now - reported_at < DELAY_REPORT_INTERVAL_MS:
             return False
-        self._told[server] = now
+        self._delay_reported_at[server] = now
         return True
 
     def _handle(self, now: float, event: api.Event) -> None:
         self._carry_out(now, self._balancer.handle(now, event))
 
     def _carry_out(self, now: float, actions: list[api.Action]) -> None:
+        """Turn actions into decisions to be fetched, timers and pending actions."""
         for action in actions:
             if isinstance(action, api.Attempt):
-                held = self._held[action.request]
-                held.attempt, held.server = held.attempt + 1, action.server
-                held.decision = Send(action.server, action.timeout, action.send_within)
+                tracked = self._requests[action.request]
+                tracked.attempt, tracked.server = tracked.attempt + 1, action.server
+                tracked.decision = Send(action.server, action.timeout, action.send_within)
             elif isinstance(action, api.Refuse):
-                self._held[action.request].decision = Refused(action.retry_after)
+                self._requests[action.request].decision = Refused(action.retry_after)
             elif isinstance(action, api.Fail):
-                self._held[action.request].decision = Failed()
+                self._requests[action.request].decision = Failed()
             elif isinstance(action, api.Move):
-                self._chores.moves.append(action.request)
+                self._pending.moves.append(action.request)
             elif isinstance(action, api.SetTimer):
                 heapq.heappush(self._timers, (now + action.delay, action.token))
             elif isinstance(action, api.WatchServerList):
-                self._chores = self._chores._replace(watch=True)
+                self._pending = self._pending._replace(watch=True)
             elif isinstance(action, api.Note):
-                self._chores.notes.append(action.text)
+                self._pending.notes.append(action.text)
--- a/switchhub/decision/interface.py
+++ b/switchhub/decision/interface.py
@@ -1,8 +1,8 @@
-"""The decision module's types: settings, events in, actions out.
+"""Types of the decision module: settings, events in, actions out.
 
-Times are milliseconds, loads are microseconds of work a second on a standard core.
-Nothing here belongs to one protocol: an adapter turns its own messages into these
-events and carries out the actions in the order given.
+Times are milliseconds, loads are microseconds of work a second on a standard core. Nothing here belongs to
+one protocol: an adapter turns its own messages into these events, and carries out the actions in the order
+given.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 
 
 class Repeat(Enum):
-    """What a second run of a request would do."""
+    """What happens if a request is run a second time."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # no further effect
+    KEYED = "keyed"  # servers that know the request's key drop the repeat
+    UNSAFE = "unsafe"  # a second effect
 
 
 class KeyScope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which servers know the key of a keyed request, and so drop its repeats."""
 
     ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ZONE = "zone"  # those in the zone of the server that ran it first
+    CELL = "cell"  # those in the cell of the server that ran it first
 
 
 class ServerState(Enum):
-    """What the roster says of a server."""
+    """The state of a server according to the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -39,7 +39,7 @@
 
 
 class Result(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt, an open connection or a probe ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -52,14 +52,12 @@
 
 
 class ServerListKind(Enum):
-    """How a roster event relates to the list already held."""
+    """How a server list relates to the list that the balancer has."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
-    REMEMBERED = "remembered"
-    LEAVING = (
-        "leaving"  # changes out of an answer that is refused otherwise; it counts as failed all the same
-    )
+    CHANGES = "changes"  # names only servers that have changed
+    WHOLE = "whole"  # replaces the list; servers that are not named are gone
+    REMEMBERED = "remembered"  # replaces the list too, but comes from before the start and not from discovery
+    LEAVING = "leaving"  # the servers that leave according to a rejected answer, whose call counts as failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,15 +68,20 @@
     repeat: Repeat
     scope: KeyScope
     window: float
+    """How long servers know the key of a keyed request, counted from its first run."""
     setup_aim: float
+    """How long a set-up may take to count as well served."""
     deadline: float
+    """How long clients wait for the final answer."""
     worth: float
+    """What a unit of work is worth, compared with other classes."""
     message_aim: float
+    """How long a message may take at its server to count as well served."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and the open connections that all balancers may hold for it."""
+    """A customer, and the number of open connections that all balancers may hold for it."""
 
     name: str
     share: float
@@ -87,39 +90,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at its start."""
+    """The settings of a balancer, which are fixed from its start on."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     fleet_size: int
+    """How many balancers there are."""
     zone: int
     max_attempts: int
+    """How many attempts a request may have."""
     probes_allowed: bool
     retry_after_max: float
-    """Longest wait that clients are given with a refusal; 0 where they are given none."""
+    """The longest wait that a refusal may tell a client; 0 if refusals tell none."""
     groups_share_work: bool
+    """Whether connections of one group cost less at one server than at several."""
     must_watch_server_list: bool
+    """Whether the server list has to be requested from discovery; otherwise it arrives by itself."""
     watch_retry_within: float
+    """After this time without a call or a watch a balancer counts as knowing what discovery knows."""
     cold_time: float
+    """How long a server is cold after its start."""
     cold_share: float
+    """The fraction of its capacity that a server has at its start; it grows evenly to 1 in `cold_time`."""
     cold_budget_multiple: float
+    """The load that may be sent to a cold server in a window, as a multiple of its share of what a warm
+    server holds, spread evenly over `cold_time`."""
     cold_budget_window: float
+    """The length of that window."""
     over_share_worth: float
+    """Factor on the worth of work for tenants that are over their share."""
     probe_price: float
+    """The price of a probe."""
     move_price: float
+    """The price of moving a connection."""
     cross_zone_price: float
+    """The price of serving a connection from another zone."""
 
 
 class Server(NamedTuple):
-    """A roster entry."""
+    """An entry of the server list."""
 
     id: str
     zone: int
     kind: int
+    """The kind of hardware, as a number."""
     cell: int
     state: ServerState
     weight: float
     started_at: float
+    """When the server started, on the clock of the events; 0 if it started long ago."""
 
 
 class Request(NamedTuple):
@@ -128,33 +147,38 @@
     id: str
     class_index: int
     budget: float
+    """How long the client still waits for the final answer."""
     tenant: int = 0
+    """Index of the tenant."""
     hint: float | None = None
+    """The load that the client expects of the connection."""
     key: str | None = None
+    """Idempotency key of a keyed request."""
     group: str | None = None
     returning: bool = False
+    """Whether the client had a connection before, and was moved or cut off."""
     late: bool = False
-    """This process can't set it up before the client's time is over."""
+    """Whether this process is too busy to set the connection up before the client stops waiting."""
 
 
 # Events in.
 
 
 class RequestArrived(NamedTuple):
-    """A request is now ours; it is owed one final answer."""
+    """A new request, to which this balancer must give exactly one final answer."""
 
     request: Request
 
 
 class ConnectionAdopted(NamedTuple):
-    """A connection that stood before this balancer's start."""
+    """A connection that was open before this balancer started."""
 
     request: Request
     server: str
 
 
 class ConnectionUp(NamedTuple):
-    """An attempt's connection stands; no time-out binds it any more."""
+    """An attempt's connection is established after `elapsed`; its time-out no longer applies."""
 
     request: str
     attempt: int
@@ -172,7 +196,7 @@
 
 
 class DelayReported(NamedTuple):
-    """How long a message takes at a server now."""
+    """How long a message takes at a server at present."""
 
     request: str
     attempt: int
@@ -181,7 +205,10 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The one end of an attempt; `closed` when the request is over with it."""
+    """The end of an attempt or of its open connection, after `elapsed`.
+
+    `closed`: the request is over with it, and no further attempt may follow.
+    """
 
     request: str
     attempt: int
@@ -192,24 +219,24 @@
 
 
 class ClientLeft(NamedTuple):
-    """The request is over and nothing is owed; attempts that are out still end."""
+    """The client has gone, so no answer is due; an attempt that is under way is still going to end."""
 
     request: str
 
 
 class ServerListChanged(NamedTuple):
-    """The roster, or changes to it."""
+    """The server list, or changes to it."""
 
     kind: ServerListKind
     servers: tuple[Server, ...]
 
 
 class ServerListFailed(NamedTuple):
-    """A roster call failed, or the subscription is lost; the held list stands."""
+    """A call for the server list failed, or the watch broke off; the list as known stays valid."""
 
 
 class DiscoveryChanged(NamedTuple):
-    """The roster is asked for elsewhere from now on, and is at once; the held list stands until then."""
+    """Discovery has another address, which is called at once; the list as known stays valid until then."""
 
 
 class TimerFired(NamedTuple):
@@ -219,7 +246,7 @@
 
 
 class ProbeAnswered(NamedTuple):
-    """What a probe found."""
+    """The result of a probe."""
 
     server: str
     result: Result
@@ -227,32 +254,40 @@
 
 
 class DrainStarted(NamedTuple):
-    """This balancer gives away what it holds, on purpose."""
+    """A drain of this balancer has started: its connections are going to be moved away."""
 
 
 class DrainEnded(NamedTuple):
-    """It takes its part again."""
+    """The drain is over: the balancer takes its share of connections again."""
 
 
 class LearnedServer(NamedTuple):
-    """What is known of one server by experience; `sent`: while it is cold, when what was sent there."""
+    """What a balancer has learned about one server from its traffic."""
 
     server: str
     rounding_offset: float
+    """Random in [0, 1): rounds the balancer's share of the server to whole connections."""
     failures: int
+    """Failed set-ups less the successful ones after them."""
     ejected_until: float
     limit: float
+    """What the sum of loads was limited to at `limit_at`; infinite without a limit."""
     limit_at: float
+    """When an overload signal last set the limit."""
     sent: tuple[tuple[float, float], ...]
+    """Time and load of each attempt that was sent while the server was cold."""
 
 
 class LearnedState(NamedTuple):
-    """What a former process of this balancer knew by experience; it holds for servers that are listed."""
+    """What the predecessor of this process learned from its traffic; it applies to listed servers only."""
 
     mean_hint: float
     setup_time: float
+    """Mean time of successful set-ups."""
     setup_deviation: float
+    """Their mean deviation from it."""
     overload_at: float
+    """When a server last signalled overload; minus infinity if none did."""
     servers: tuple[LearnedServer, ...]
 
 
@@ -279,55 +314,59 @@
 
 
 class Attempt(NamedTuple):
-    """Set the request up at a server; attempts count from 0. Time-out 0: as long as the client waits.
-    What is not sent `within` so many milliseconds, for its connection came up late, is not to be sent."""
+    """Set the request up at a server; the attempts of a request count from 0.
+
+    A request whose connection is ready only after `send_within` must not be sent.
+    """
 
     request: str
     server: str
     timeout: float
+    """How long the set-up may take; 0 for as long as the client waits."""
     send_within: float = math.inf
 
 
 class Refuse(NamedTuple):
-    """Final answer: turned away, trying again is harmless."""
+    """Final answer: refused, and trying again after `retry_after` is harmless."""
 
     request: str
     retry_after: float
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed, and trying again may have a second effect."""
 
     request: str
 
 
 class Move(NamedTuple):
-    """Close an open connection politely; its client comes again."""
+    """Close an open connection after its client was told to connect anew."""
 
     request: str
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired` with this token."""
+    """Send a `TimerFired` with this token after `delay`."""
 
     token: int
     delay: float
 
 
 class WatchServerList(NamedTuple):
-    """Ask for the roster's changes from now on."""
+    """Request the server list and its changes from discovery."""
 
 
 class Probe(NamedTuple):
-    """Ask a server for its load report."""
+    """Request a server's load report."""
 
     server: str
 
 
 class Note(NamedTuple):
-    """One line for whoever is on call."""
+    """One line for the operator's log."""
 
     text: str
 
 
 Action = Attempt | Refuse | Fail | Move | SetTimer | WatchServerList | Probe | Note
+"""Everything that the decision module may ask its adapter to do."""
--- a/switchhub/decision/placement.py
+++ b/switchhub/decision/placement.py
@@ -1,10 +1,16 @@
-"""Every decision of a balancer. Its types, events and actions: `switchhub/decision/interface.py`.
+"""All decisions of one balancer: placement, load limits, ejection, moves and retries of discovery calls.
 
-Each server has a sum: the load hints of the connections that this balancer placed there, or was told open at
-its start, and that still stand. A new connection goes where sum + its own hint is smallest.
+Its settings, events and actions are defined in `switchhub/decision/interface.py`. It does no I/O and reads
+no clock. Times are milliseconds, loads are microseconds of work a second on a standard core.
 
-One path: lawful servers -> exceptions narrow the candidates -> the least sum decides. An exception that would
-leave nobody is passed over; a rule never is. Times are milliseconds, loads microseconds of work a second.
+For each server the balancer keeps a sum: the load hints of the connections that it placed there, or that
+were already open when it started, until they end. A new connection goes to the server where the sum plus
+the connection's own hint is least.
+
+A placement has three steps. The rules leave the permitted servers: 1, each request gets one final answer;
+2, no request takes effect twice; 3, a draining server gets nothing new; 4, a cold server is filled slowly.
+Filters then narrow the candidates, each guarding against one known failure. Of those that remain, the least
+sum decides. A filter that would leave no candidate is skipped; a rule is never skipped.
 """
 
 from __future__ import annotations
@@ -17,585 +23,921 @@
 from typing import Any
 
 from switchhub.decision.interface import (
-    Action, Attempt, AttemptEnded, ClientLeft, ConnectionAdopted, ConnectionUp, DelayReported,
-    DiscoveryChanged, DrainEnded, DrainStarted, Event, Fail, KeyScope, LearnedServer, LearnedState,
-    LoadReported, Move, Note, ProbeAnswered, Refuse, Repeat, Request, RequestArrived, Result, Server,
-    ServerListChanged, ServerListFailed, ServerListKind, ServerState, SetTimer, Settings, TimerFired,
+    Action,
+    Attempt,
+    AttemptEnded,
+    ClientLeft,
+    ConnectionAdopted,
+    ConnectionUp,
+    DelayReported,
+    DiscoveryChanged,
+    DrainEnded,
+    DrainStarted,
+    Event,
+    Fail,
+    KeyScope,
+    LearnedServer,
+    LearnedState,
+    LoadReported,
+    Move,
+    Note,
+    ProbeAnswered,
+    Refuse,
+    Repeat,
+    Request,
+    RequestArrived,
+    Result,
+    Server,
+    ServerListChanged,
+    ServerListFailed,
+    ServerListKind,
+    ServerState,
+    SetTimer,
+    Settings,
+    TimerFired,
     WatchServerList,
 )
 
-HINT_MEMORY = 1 / 64  # weight of the newest hint in the mean that stands in for a missing one
-NEVER_RAN = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})  # proof that an attempt did not run
-SICK = frozenset({Result.ERROR, Result.TIMEOUT, Result.UNREACHABLE, Result.RESET})  # full is not sick
-BACKOFF, BACKOFF_STEPS, DOUBT = 62.5, 6, 2  # a wait that failed set-ups double; how many at most, at least
-TIMEOUT_SPREADS, SETUP_MEMORY = 4.0, 1 / 16  # mean deviations that a set-up may take over the mean
-HINT_NOISE = 2.0  # a sum's noise, as a multiple of the root of the summed squares of its loads
-GROUP_LOADS = 16.0  # what a group adds to a server that holds none of it, in mean hints
-GATHER = 4.0  # a group starts at the common server if that holds so many mean hints over the least at most
-MARKS, SPREAD = 2**64 - 1, 0x9E3779B97F4A7C15  # marks are of 64 bits; an odd factor orders them anew
-OWN_PART = 2.0  # connections of a group held here, on average, over which a balancer starts it where it likes
-STRAIN = 1 / 3  # part of the shortest message aim that tells strain
-LIMIT_HOLD, LIMIT_GROWTH, REFILL = 1500.0, 0.02, 0.1  # a limit stands so long, then grows so much a second
-LIMIT_CUT, STALL = 0.2, 1000.0  # part of the limit that news of missed aims takes; a delay takes all of it
-ROSTER_TIMER, ASK_AGAIN, ASK_MOST = 1, 1500.0, 4000.0  # the only timer: ask again, so late at first, at most
-ASK_WORK = 250.0  # what a call takes discovery, at worst
-QUEUED, TRIES = 900.0, 3  # a call that fails after so long was in a queue that all fill; borne so often
-MOVE_PACE = 0.07  # part of its connections that a balancer moves in a second at most
-MOVE_SPEND, THIN_PACE = 0.0015, 0.3  # what thin ones may spend on moves in a second; part they move at most
-OVER_SHARE_PART = 0.9  # part of a limit that is open to tenants over their share
-
-
-def _mark(text: str) -> int:
-    """The same number at every balancer; it tells nothing but which text it is of."""
+MEAN_HINT_GAIN = 1 / 64  # weight of the newest hint in the moving average that replaces a missing hint
+NEVER_RAN = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})  # the attempt surely did not run
+UNHEALTHY_RESULTS = frozenset({Result.ERROR, Result.TIMEOUT, Result.UNREACHABLE, Result.RESET})
+EJECTION_BASE_MS = 62.5  # doubled for each counted failure
+FAILURES_MAX = 6  # failures counted at most, which bounds the ejection time
+EJECTION_FAILURES = 2  # failures from which on a server is ejected
+TIMEOUT_DEVIATIONS = 4.0  # mean deviations above the mean set-up time that an attempt may take
+SETUP_TIME_GAIN = 1 / 16  # weight of the newest set-up in the moving averages of set-up times
+SUM_NOISE_FACTOR = 2.0  # noise of a sum, as a multiple of the root of its squared loads' sum
+GROUP_COST_HINTS = 16.0  # load that a group adds to a server without any of its connections, in mean hints
+GROUP_START_SLACK_HINTS = 4.0  # how far the common start of a group may exceed the least sum, in mean hints
+HASH_MASK = 2**64 - 1  # hashes have 64 bits
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # odd, so that multiplying permutes the hashes
+LOCAL_GROUP_START_CONNECTIONS = 2.0  # mean connections per group and server above which sums choose the start
+OVERLOAD_DELAY_FRACTION = 1 / 3  # of the shortest message aim: a delay from which on a server is overloaded
+LIMIT_HOLD_MS = 1500.0  # how long a limit stays constant after the last overload signal
+LIMIT_GROWTH_PER_S = 0.02  # fraction of itself by which a limit then grows
+LIMIT_REFILL_PER_S = 0.1  # fraction of the mean sum by which a nearly empty server's limit grows
+LIMIT_CUT_FRACTION = 0.2  # of the limit, taken off by a delay that misses the message aim
+STALL_DELAY_MS = 1000.0  # a delay from which on a server counts as stalled: its limit becomes 0
+RETRY_TIMER_TOKEN = 1  # the only timer: call discovery again
+RETRY_BASE_MS = 1500.0  # longest wait after the first failed call
+RETRY_MAX_MS = 4000.0  # longest wait, unless failed calls waited in discovery's queue
+DISCOVERY_CALL_WORK_MS = 250.0  # time that one call takes discovery in the worst case
+QUEUED_CALL_MS = 900.0  # a call that fails after this time or more has waited in discovery's queue
+QUEUED_CALLS_BEFORE_BACKOFF = 3  # failed calls after which queued ones double the wait
+MOVE_RATE_PER_S = 0.07  # fraction of its connections that a balancer moves at most
+SPARSE_MOVE_BUDGET_PER_S = 0.0015  # fraction of connections times the price of a move, for sparse balancers
+SPARSE_MOVE_RATE_MAX_PER_S = 0.3  # fraction of its connections that a sparse balancer moves at most
+OVER_SHARE_LIMIT_FRACTION = 0.9  # of a limit, open to tenants that are over their share
+
+
+def _hash64(text: str) -> int:
+    """A 64-bit hash of the text that is the same at every balancer."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-class _Node:
+class _ServerRecord:
     """What this balancer knows of one server."""
 
-    __slots__ = ("aside_until", "fails", "groups", "held", "id", "limit", "limit_at", "luck", "mark",
-                 "part", "pending", "sent", "server", "total")
-
-    def __init__(self, server: Server, luck: float) -> None:
+    __slots__ = (
+        "cold_sends",
+        "connections",
+        "ejected_until",
+        "failures",
+        "groups",
+        "id",
+        "id_hash",
+        "limit",
+        "limit_set_at",
+        "load_sum",
+        "pending_attempts",
+        "rounding_offset",
+        "server",
+        "share_before_drain",
+    )
+
+    def __init__(self, server: Server, rounding_offset: float) -> None:
         self.id, self.server = server.id, server
-        self.mark = _mark(server.id)
-        self.luck = luck  # by lot in [0, 1): rounds what this balancer may hold here to whole connections
-        self.held: dict[str, _Conn] = {}
-        self.total = 0  # the design's sum
-        self.groups: Counter[str] = Counter()  # connections of each group held here
-        self.pending = 0  # set-ups under way
-        self.part = 0.0  # after a drain: of its load, what is ours though we do not hold it
-        self.fails, self.aside_until = 0, 0.0  # failed set-ups less later good ones; aside till then
-        self.limit, self.limit_at = math.inf, 0.0  # what the sum may rise to, as strain told last then
-        self.sent: deque[tuple[float, float]] = deque()  # while cold: when what was sent here
-
-
-class _Conn:
-    """A request that is held: being placed, out on an attempt, or standing as a connection."""
-
-    __slots__ = ("attempts", "deadline", "group", "kind", "left", "load", "moving", "node", "ran", "request",
-                 "tried", "up")
+        self.id_hash = _hash64(server.id)
+        # Random in [0, 1): the part of a connection by which this balancer may exceed its share here, so that
+        # the shares of all balancers, rounded to whole connections, add up to about the intended load.
+        self.rounding_offset = rounding_offset
+        self.connections: dict[str, _Connection] = {}  # by request id, attempts under way included
+        self.load_sum = 0  # loads of these connections
+        self.groups: Counter[str] = Counter()  # how many of these connections each group has
+        self.pending_attempts = 0
+        self.share_before_drain = 0.0  # load here that is this balancer's share though a drain gave it away
+        self.failures = 0  # failed set-ups less the successful ones after them
+        self.ejected_until = 0.0
+        # What the load sum may rise to, and when an overload signal last set it; see `_current_limit`.
+        self.limit, self.limit_set_at = math.inf, 0.0
+        self.cold_sends: deque[tuple[float, float]] = deque()  # while cold: time and load of each attempt
+
+
+class _Connection:
+    """A request while it is placed, while an attempt is under way, and while its connection is open."""
+
+    __slots__ = (
+        "attempts",
+        "client_left",
+        "deadline",
+        "established",
+        "group",
+        "load",
+        "may_have_run",
+        "moving",
+        "record",
+        "request",
+        "request_class",
+        "tried_servers",
+    )
 
     def __init__(self, request: Request, settings: Settings, load: int, deadline: float) -> None:
         self.request, self.load, self.deadline = request, load, deadline
-        self.kind = settings.classes[request.class_index]
+        self.request_class = settings.classes[request.class_index]
         self.group = request.group if settings.groups_share_work else None
         self.attempts = 0
-        self.tried: set[str] = set()
-        self.node: _Node | None = None  # where an attempt is out or the connection stands
-        self.up = self.moving = self.left = False  # stands; asked to move; client has left
-        self.ran: tuple[Server, float] | None = None  # first attempt that may have run: where, when sent
+        self.tried_servers: set[str] = set()
+        self.record: _ServerRecord | None = None  # of the server of the attempt or of the open connection
+        self.established = self.moving = self.client_left = False  # moving: its client was asked to move
+        self.may_have_run: tuple[Server, float] | None = None  # server and time of the first such attempt
 
 
 class Balancer:
-    """Events in, actions out. Same settings, seed and events: same actions."""
+    """Turns events into actions. The same settings, seed and events always give the same actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Prepare for `start`; the seed determines every random choice."""
         self._settings = settings
-        self._rng = Random(seed)
-        self._lot = Random(f"new servers {seed}").random()  # rounds our part of them to whole connections
+        self._random = Random(seed)
+        # As `_ServerRecord.rounding_offset`, for this balancer's share of all new servers together.
+        self._new_servers_offset = Random(f"new servers {seed}").random()
         self._now = 0.0
-        self._out: list[Action] = []
-        self._nodes: dict[str, _Node] = {}
-        self._ready: list[_Node] = []  # those that may be sent to, of these the new, and of these the cold
-        self._new: list[_Node] = []
-        self._cold: list[_Node] = []
-        self._conns: dict[str, _Conn] = {}
-        self._standing = [0] * len(settings.tenants)  # connections of each tenant
+        self._actions: list[Action] = []
+        self._records: dict[str, _ServerRecord] = {}
+        self._ready_records: list[_ServerRecord] = []  # servers that may get new connections
+        self._new_records: list[_ServerRecord] = []  # of the ready: those listed with a start time
+        self._cold_records: list[_ServerRecord] = []  # of the new: those that may still be cold
+        self._connections: dict[str, _Connection] = {}
+        self._tenant_connections = [0] * len(settings.tenants)  # of each tenant, by its index
         quota = sum(tenant.connections for tenant in settings.tenants)
-        self._quota = quota if math.isfinite(quota) else 0.0
+        self._total_quota = quota if math.isfinite(quota) else 0.0
         self._mean_hint = 0.0
-        self._setup_time = self._setup_spread = 0.0  # of set-ups that worked: mean, and mean deviation
-        self._least_aim = min((each.message_aim for each in settings.classes), default=0.0)
-        self._watching, self._asks_failed, self._queued = False, 0, False
-        self._asked_at = 0.0  # when the roster was asked for last, or told something
-        self._strain_at = -math.inf  # when a server told of strain last
-        self._thin_pace = MOVE_SPEND / max(settings.move_price, MOVE_SPEND / THIN_PACE)
-        self._move_credit, self._move_at = math.inf, 0.0  # moves that may go, as counted then
-        self._exceptions = (
-            self._healthy, self._untried, self._within, self._gathered, self._known, self._renewed,
-            self._near)
+        self._setup_time = self._setup_deviation = 0.0  # of successful set-ups: mean, and mean deviation
+        self._shortest_message_aim = min((each.message_aim for each in settings.classes), default=0.0)
+        self._watching, self._failed_calls, self._discovery_queued = False, 0, False
+        self._called_at = 0.0  # when the server list was last requested or received
+        self._overload_at = -math.inf  # when a server last signalled overload
+        self._sparse_move_rate = SPARSE_MOVE_BUDGET_PER_S / max(
+            settings.move_price, SPARSE_MOVE_BUDGET_PER_S / SPARSE_MOVE_RATE_MAX_PER_S
+        )
+        self._move_credit, self._move_credit_at = math.inf, 0.0  # moves allowed, as counted at that time
+        self._filters = (
+            self._keep_healthy,
+            self._keep_untried,
+            self._keep_within_limit,
+            self._keep_group_start,
+            self._keep_known,
+            self._keep_new,
+            self._keep_own_zone,
+        )
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
-            RequestArrived: self._on_request, ConnectionAdopted: self._on_adopted, ConnectionUp: self._on_up,
-            AttemptEnded: self._on_outcome, ClientLeft: self._on_left, LoadReported: self._on_load,
-            DelayReported: self._on_delay, ServerListChanged: self._on_roster,
-            ServerListFailed: self._on_roster_failed,
-            DiscoveryChanged: self._on_roster_moved, TimerFired: self._on_timer,
-            LearnedState: self._on_learnt, DrainStarted: self._on_drained, DrainEnded: self._on_restored,
-            ProbeAnswered: lambda _event: None,  # none is sent: told delays say the same, for nothing
+            RequestArrived: self._on_request,
+            ConnectionAdopted: self._on_connection_adopted,
+            ConnectionUp: self._on_connection_up,
+            AttemptEnded: self._on_attempt_ended,
+            ClientLeft: self._on_client_left,
+            LoadReported: self._on_load_reported,
+            DelayReported: self._on_delay_reported,
+            ServerListChanged: self._on_server_list_changed,
+            ServerListFailed: self._on_server_list_failed,
+            DiscoveryChanged: self._on_discovery_changed,
+            TimerFired: self._on_timer,
+            LearnedState: self._on_learned_state,
+            DrainStarted: self._on_drain_started,
+            DrainEnded: self._on_drain_ended,
+            # No probes are sent: reported delays carry the same information without extra requests.
+            ProbeAnswered: lambda _event: None,
         }
 
     def start(self, now: float) -> list[Action]:
         """The first actions, before any event."""
-        self._now = self._asked_at = now
+        self._now = self._called_at = now
         return [WatchServerList()] if self._settings.must_watch_server_list else []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event; events of one moment come one by one, in their order."""
-        self._now, self._out = now, []
+        """The actions that an event leads to. Events of one moment are passed one by one, in their order."""
+        self._now, self._actions = now, []
         self._handlers[type(event)](event)
-        return self._out
+        return self._actions
 
     def sums(self) -> dict[str, int]:
-        """The design's sum of each known server, for tests and for whoever looks in."""
-        return {node.id: node.total for node in self._nodes.values()}
+        """The load sum of each known server by its id, for tests and inspection."""
+        return {record.id: record.load_sum for record in self._records.values()}
 
     def server_counts(self, now: float) -> tuple[int, int]:
-        """How many servers are listed, and how many of them get nothing new: they drain or are set aside."""
-        listed = [node for node in self._nodes.values() if node.server.state is not ServerState.GONE]
-        return len(listed), sum(node.server.state is not ServerState.READY
-                                or (node.fails >= DOUBT and node.aside_until > now) for node in listed)
+        """How many servers are listed, and how many of them are draining or ejected at present."""
+        listed = [record for record in self._records.values() if record.server.state is not ServerState.GONE]
+        return len(listed), sum(
+            record.server.state is not ServerState.READY
+            or (record.failures >= EJECTION_FAILURES and record.ejected_until > now)
+            for record in listed
+        )
 
     def learned_state(self) -> LearnedState:
-        """What a new process of this balancer goes on with."""
-        return LearnedState(self._mean_hint, self._setup_time, self._setup_spread, self._strain_at, tuple(
-            LearnedServer(node.id, node.luck, node.fails, node.aside_until, node.limit, node.limit_at,
-                         tuple(node.sent)) for node in self._nodes.values()))
-
-    def _on_learnt(self, event: LearnedState) -> None:
-        """Danger: knowing no limits it fills slow servers as others; cold ones get what both send."""
-        self._mean_hint, self._setup_time, self._setup_spread, self._strain_at, servers = event
+        """What this balancer has learned from its traffic, for the process that succeeds this one."""
+        return LearnedState(
+            self._mean_hint,
+            self._setup_time,
+            self._setup_deviation,
+            self._overload_at,
+            tuple(
+                LearnedServer(
+                    record.id,
+                    record.rounding_offset,
+                    record.failures,
+                    record.ejected_until,
+                    record.limit,
+                    record.limit_set_at,
+                    tuple(record.cold_sends),
+                )
+                for record in self._records.values()
+            ),
+        )
+
+    def _on_learned_state(self, event: LearnedState) -> None:
+        """Take over what the predecessor learned about servers that are listed.
+
+        Without it this process would fill servers that are over their limits like all others, and a cold
+        server would get the budget of both processes.
+        """
+        self._mean_hint, self._setup_time, self._setup_deviation, self._overload_at, servers = event
         for each in servers:
-            if (node := self._nodes.get(each.server)) is not None:
-                node.luck, node.fails, node.aside_until, node.limit, node.limit_at = each[1:6]
-                node.sent = deque(each.sent)
-
-    def _on_drained(self, _event: DrainStarted) -> None:
-        """Our part of each server, as it is now and as it is when another balancer drains in its turn."""
+            if (record := self._records.get(each.server)) is not None:
+                (
+                    record.rounding_offset,
+                    record.failures,
+                    record.ejected_until,
+                    record.limit,
+                    record.limit_set_at,
+                ) = each[1:6]
+                record.cold_sends = deque(each.sent)
+
+    def _on_drain_started(self, _event: DrainStarted) -> None:
+        """Keep this balancer's share of each server's load, which the drain is about to give away.
+
+        The share is raised to what this balancer would hold if another one drained in its turn.
+        """
         others = max(1, self._settings.fleet_size - 1)
-        for node in self._nodes.values():
-            node.part = node.total * (others + 1) / others
+        for record in self._records.values():
+            record.share_before_drain = record.load_sum * (others + 1) / others
+
+    def _on_drain_ended(self, _event: DrainEnded) -> None:
+        """Forget all limits.
 
-    def _on_restored(self, _event: DrainEnded) -> None:
-        """Danger: what is held falls in a drain, on purpose; as a limit it refuses whom others move."""
-        for node in self._nodes.values():
-            node.limit, node.limit_at = math.inf, 0.0
+        Sums fall in a drain on purpose. A limit set from such a sum would refuse the clients that another
+        balancer moves away when it drains.
+        """
+        for record in self._records.values():
+            record.limit, record.limit_set_at = math.inf, 0.0
 
-    # Requests and the connections that they become.
+    # Requests and their connections.
 
     def _on_request(self, event: RequestArrived) -> None:
         request = event.request
-        conn = _Conn(request, self._settings, self._load_of(request), self._now + request.budget)
-        self._conns[request.id] = conn
-        if request.late:  # Danger: an overloaded process works on for clients that give up meanwhile
-            self._give_up(conn)
+        connection = _Connection(request, self._settings, self._load_of(request), self._now + request.budget)
+        self._connections[request.id] = connection
+        # Otherwise an overloaded process would work for clients that give up before they are served.
+        if request.late:
+            self._refuse_or_fail(connection)
         else:
-            self._place(conn)
-
-    def _on_adopted(self, event: ConnectionAdopted) -> None:
-        node = self._nodes.get(event.server)
-        if node is None:  # it stands somewhere that our list does not name: count it, send nothing there
-            node = self._nodes[event.server] = _Node(
-                Server(event.server, -1, 0, -1, ServerState.GONE, 1.0, 0.0), self._rng.random())
-        conn = _Conn(event.request, self._settings, self._load_of(event.request), math.inf)
-        conn.attempts, conn.up = 1, True
-        self._conns[event.request.id] = conn
-        self._hold(conn, node)
+            self._place(connection)
+
+    def _on_connection_adopted(self, event: ConnectionAdopted) -> None:
+        record = self._records.get(event.server)
+        if record is None:  # the server is not listed: count the connection, place nothing there
+            record = self._records[event.server] = _ServerRecord(
+                Server(event.server, -1, 0, -1, ServerState.GONE, 1.0, 0.0), self._random.random()
+            )
+        connection = _Connection(event.request, self._settings, self._load_of(event.request), math.inf)
+        connection.attempts, connection.established = 1, True
+        self._connections[event.request.id] = connection
+        self._add_to_server(connection, record)
 
     def _load_of(self, request: Request) -> int:
-        """The hint, or for a missing one the mean lately seen of hints, or of the loads told in their place.
-        Danger: where clients send none, sums of nothing never use up a cold server's budget."""
+        """The hint, or the moving average of recent hints and reported loads if there is none; at least 1.
+
+        Where clients send no hints, loads of 0 would never use up a cold server's budget.
+        """
         if request.hint is None:
             return max(round(self._mean_hint), 1)
-        self._learn_hint(request.hint)
+        self._update_mean_hint(request.hint)
         return round(request.hint)
 
-    def _learn_hint(self, load: float) -> None:
-        self._mean_hint += (HINT_MEMORY if self._mean_hint else 1.0) * (load - self._mean_hint)
-
-    def _hold(self, conn: _Conn, node: _Node) -> None:
-        conn.node = node
-        node.held[conn.request.id] = conn
-        node.total += conn.load
-        if node.total >= node.part:
-            node.part = 0.0
-        if conn.group is not None:
-            node.groups[conn.group] += 1
-        if self._standing:
-            self._standing[conn.request.tenant] += 1
-
-    def _release(self, conn: _Conn, node: _Node) -> None:
-        """The connection has ended, or its set-up has failed: the sum falls at once."""
-        conn.node = None
-        del node.held[conn.request.id]
-        node.total -= conn.load
-        if conn.group is not None:
-            node.groups[conn.group] -= 1
-            if not node.groups[conn.group]:
-                del node.groups[conn.group]
-        if self._standing:
-            self._standing[conn.request.tenant] -= 1
-
-    def _live(self, request: str, attempt: int) -> _Conn | None:
-        """The held request whose present attempt this is; news of any other is passed over."""
-        conn = self._conns.get(request)
-        return conn if conn is not None and conn.node is not None and attempt == conn.attempts - 1 else None
-
-    def _on_up(self, event: ConnectionUp) -> None:
-        conn = self._live(event.request, event.attempt)
-        if conn is None or conn.node is None or conn.up:
+    def _update_mean_hint(self, load: float) -> None:
+        self._mean_hint += (MEAN_HINT_GAIN if self._mean_hint else 1.0) * (load - self._mean_hint)
+
+    def _add_to_server(self, connection: _Connection, record: _ServerRecord) -> None:
+        """Count an attempt, or an open connection, in the server's sum."""
+        connection.record = record
+        record.connections[connection.request.id] = connection
+        record.load_sum += connection.load
+        if record.load_sum >= record.share_before_drain:
+            record.share_before_drain = 0.0
+        if connection.group is not None:
+            record.groups[connection.group] += 1
+        if self._tenant_connections:
+            self._tenant_connections[connection.request.tenant] += 1
+
+    def _remove_from_server(self, connection: _Connection, record: _ServerRecord) -> None:
+        """Stop counting a connection that has ended, or whose set-up has failed, in the server's sum."""
+        connection.record = None
+        del record.connections[connection.request.id]
+        record.load_sum -= connection.load
+        if connection.group is not None:
+            record.groups[connection.group] -= 1
+            if not record.groups[connection.group]:
+                del record.groups[connection.group]
+        if self._tenant_connections:
+            self._tenant_connections[connection.request.tenant] -= 1
+
+    def _find_current_attempt(self, request: str, attempt: int) -> _Connection | None:
+        """The connection whose current attempt this is; None for a former attempt or an unknown request."""
+        connection = self._connections.get(request)
+        return (
+            connection
+            if connection is not None and connection.record is not None and attempt == connection.attempts - 1
+            else None
+        )
+
+    def _on_connection_up(self, event: ConnectionUp) -> None:
+        connection = self._find_current_attempt(event.request, event.attempt)
+        if connection is None or connection.record is None or connection.established:
             return
-        conn.up = True
-        gain = SETUP_MEMORY if self._setup_time else 1.0
-        self._setup_spread += gain * (abs(event.elapsed - self._setup_time) - self._setup_spread)
+        connection.established = True
+        gain = SETUP_TIME_GAIN if self._setup_time else 1.0
+        self._setup_deviation += gain * (abs(event.elapsed - self._setup_time) - self._setup_deviation)
         self._setup_time += gain * (event.elapsed - self._setup_time)
-        node = conn.node
-        node.pending -= 1
-        if node.server.state is ServerState.DRAINING:
-            self._out.append(Move(event.request))
-        if node.fails:
-            node.fails, node.aside_until = node.fails - 1, self._now
-            if node.fails == DOUBT - 1:
-                self._out.append(Note(f"server {node.id} serves again"))
-
-    def _on_outcome(self, event: AttemptEnded) -> None:
-        conn = self._live(event.request, event.attempt)
-        if conn is None or conn.node is None:
+        record = connection.record
+        record.pending_attempts -= 1
+        if record.server.state is ServerState.DRAINING:
+            self._actions.append(Move(event.request))
+        if record.failures:
+            record.failures, record.ejected_until = record.failures - 1, self._now
+            if record.failures == EJECTION_FAILURES - 1:
+                self._actions.append(Note(f"server {record.id} serves again"))
+
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        connection = self._find_current_attempt(event.request, event.attempt)
+        if connection is None or connection.record is None:
             return
-        node, result = conn.node, event.result
-        self._release(conn, node)
-        node.pending -= not conn.up
-        broke_off = conn.up and result is Result.RESET
-        if result is Result.FULL or (broke_off and self._fresh(node)):
-            self._strained(node, 1.0)  # not sick: it takes no more than it holds, or drops what piles up
-        elif result in SICK and not broke_off:  # a connection that breaks off alone says nothing
-            self._set_aside(node, result)
-        if event.closed or conn.left or conn.up:
-            del self._conns[event.request]
+        record, result = connection.record, event.result
+        self._remove_from_server(connection, record)
+        record.pending_attempts -= not connection.established
+        broke_off = connection.established and result is Result.RESET
+        # A full server is healthy, and so is an overloaded one that resets connections because work piles up:
+        # both get no more than they hold now. Any other reset of an open connection says nothing about the
+        # server's health, because networks break connections too.
+        if result is Result.FULL or (broke_off and self._is_overloaded(record)):
+            self._set_limit(record, 1.0)
+        elif result in UNHEALTHY_RESULTS and not broke_off:
+            self._count_failure(record, result)
+        if event.closed or connection.client_left or connection.established:
+            del self._connections[event.request]
             return
-        if conn.ran is None and result not in NEVER_RAN:
-            conn.ran = (node.server, self._now - event.elapsed)
-        self._place(conn)
+        if connection.may_have_run is None and result not in NEVER_RAN:
+            connection.may_have_run = (record.server, self._now - event.elapsed)
+        self._place(connection)
 
-    def _on_left(self, event: ClientLeft) -> None:
-        if (conn := self._conns.get(event.request)) is not None:
-            conn.left = True
+    def _on_client_left(self, event: ClientLeft) -> None:
+        if (connection := self._connections.get(event.request)) is not None:
+            connection.client_left = True
 
-    # The one path of a decision.
+    # Placement.
 
-    def _place(self, conn: _Conn) -> None:
-        candidates = self._lawful(conn)
-        if not candidates or self._overloaded(conn, candidates):
-            self._give_up(conn)
+    def _place(self, connection: _Connection) -> None:
+        """Start the request's next attempt, or give its final answer."""
+        candidates = self._permitted_servers(connection)
+        if not candidates or self._must_shed(connection, candidates):
+            self._refuse_or_fail(connection)
             return
-        for exception in self._exceptions:
-            candidates = exception(conn, candidates) or candidates
-        node = self._least(conn, candidates)
-        conn.attempts += 1
-        conn.tried.add(node.id)
-        node.pending += 1
-        self._hold(conn, node)
-        if self._cold_age(node) is not None:
-            node.sent.append((self._now, self._push(conn)))
-        self._out.append(Attempt(conn.request.id, node.id, self._timeout(conn), self._window(conn)))
-
-    def _lawful(self, conn: _Conn) -> list[_Node]:
-        """The servers to which the four rules allow an attempt now."""
-        if conn.attempts >= self._settings.max_attempts or self._now >= conn.deadline:
+        for keep in self._filters:
+            candidates = keep(connection, candidates) or candidates
+        record = self._least_loaded(connection, candidates)
+        connection.attempts += 1
+        connection.tried_servers.add(record.id)
+        record.pending_attempts += 1
+        self._add_to_server(connection, record)
+        if self._cold_age(record) is not None:
+            record.cold_sends.append((self._now, self._cold_budget_load(connection)))
+        self._actions.append(
+            Attempt(
+                connection.request.id,
+                record.id,
+                self._timeout(connection),
+                self._repeat_window_left(connection),
+            )
+        )
+
+    def _permitted_servers(self, connection: _Connection) -> list[_ServerRecord]:
+        """The servers to which the rules permit an attempt now."""
+        if connection.attempts >= self._settings.max_attempts or self._now >= connection.deadline:
             return []
-        nodes = self._ready  # rule 3
-        if conn.ran is not None and conn.kind.repeat is not Repeat.SAFE:  # rule 2
-            where, _ = conn.ran
-            if conn.kind.repeat is Repeat.UNSAFE or self._window(conn) <= 0:
+        records = self._ready_records  # rule 3
+        if (
+            connection.may_have_run is not None and connection.request_class.repeat is not Repeat.SAFE
+        ):  # rule 2
+            first_server, _ = connection.may_have_run
+            if connection.request_class.repeat is Repeat.UNSAFE or self._repeat_window_left(connection) <= 0:
                 return []
-            if conn.kind.scope is KeyScope.ZONE:
-                nodes = [node for node in nodes if node.server.zone == where.zone]
-            elif conn.kind.scope is KeyScope.CELL:
-                nodes = [node for node in nodes if node.server.cell == where.cell]
-        if self._cold:  # rule 4
-            self._cold = [node for node in self._cold if self._cold_age(node) is not None]
-            peers = self._warm_peers()
-            barred = {node for node in self._cold if not self._fits_cold(node, conn, peers)}
-            nodes = [node for node in nodes if node not in barred]
-        return nodes
-
-    def _window(self, conn: _Conn) -> float:
-        """Rule 2: how long a keyed request that may have run may be repeated. Danger: an attempt begun in its
-        window whose connection comes up late is sent past it."""
-        if conn.ran is None or conn.kind.repeat is not Repeat.KEYED:
+            if connection.request_class.scope is KeyScope.ZONE:
+                records = [record for record in records if record.server.zone == first_server.zone]
+            elif connection.request_class.scope is KeyScope.CELL:
+                records = [record for record in records if record.server.cell == first_server.cell]
+        if self._cold_records:  # rule 4
+            self._cold_records = [
+                record for record in self._cold_records if self._cold_age(record) is not None
+            ]
+            warm_sums = self._mean_warm_sums()
+            excluded = {
+                record
+                for record in self._cold_records
+                if not self._fits_cold_budget(record, connection, warm_sums)
+            }
+            records = [record for record in records if record not in excluded]
+        return records
+
+    def _repeat_window_left(self, connection: _Connection) -> float:
+        """Rule 2: how much longer a keyed request that may have run may be sent; infinite for all others.
+
+        It is passed on with each attempt, because an attempt that begins within the window could be sent
+        after it if its connection comes up late.
+        """
+        if connection.may_have_run is None or connection.request_class.repeat is not Repeat.KEYED:
             return math.inf
-        return conn.kind.window - (self._now - conn.ran[1])
+        return connection.request_class.window - (self._now - connection.may_have_run[1])
 
-    def _least(self, conn: _Conn, nodes: list[_Node]) -> _Node:
-        """The design: the least sum with the new connection in it. Ties by lot."""
-        sums = self._sums(conn, nodes)
+    def _least_loaded(self, connection: _Connection, records: list[_ServerRecord]) -> _ServerRecord:
+        """The server with the least sum, the new connection included; ties are broken at random."""
+        sums = self._sums_with(connection, records)
         least = min(sums)
-        ties = [node for node, total in zip(nodes, sums, strict=True) if total == least]
-        return ties[0] if len(ties) == 1 else self._rng.choice(ties)
+        ties = [record for record, total in zip(records, sums, strict=True) if total == least]
+        return ties[0] if len(ties) == 1 else self._random.choice(ties)
 
-    def _sums(self, conn: _Conn, nodes: list[_Node]) -> list[int]:
-        """The sums with the new connection in them.
+    def _sums_with(self, connection: _Connection, records: list[_ServerRecord]) -> list[int]:
+        """The sums of these servers, each with the new connection included.
 
-        Groups. Danger: each server that holds any of a group pays for it once, and hints do not say so."""
-        load, group = conn.load, conn.group
+        Each server that has connections of a group bears the group's shared work once. Hints do not include
+        it, so it is added for servers that have none of the group yet.
+        """
+        load, group = connection.load, connection.group
         if group is None:
-            return [node.total + load for node in nodes]
-        absent = load + round(GROUP_LOADS * self._mean_hint)
-        return [node.total + (load if group in node.groups else absent) for node in nodes]
-
-    def _timeout(self, conn: _Conn) -> float:
-        """Danger: a silent server eats the client's whole wait. Leave time for another one."""
-        left = conn.deadline - self._now
-        learnt = self._setup_time + TIMEOUT_SPREADS * self._setup_spread
-        if not learnt or conn.attempts >= self._settings.max_attempts:
+            return [record.load_sum + load for record in records]
+        load_without_group = load + round(GROUP_COST_HINTS * self._mean_hint)
+        return [
+            record.load_sum + (load if group in record.groups else load_without_group) for record in records
+        ]
+
+    def _timeout(self, connection: _Connection) -> float:
+        """How long the attempt may take: the usual set-up time, and for the last attempt all that is left.
+
+        Otherwise one silent server would use up the client's whole wait and leave no time for another one.
+        """
+        left = connection.deadline - self._now
+        usual = self._setup_time + TIMEOUT_DEVIATIONS * self._setup_deviation
+        if not usual or connection.attempts >= self._settings.max_attempts:
             return left
-        return min(left, max(learnt, left / (self._settings.max_attempts + 1)))
+        return min(left, max(usual, left / (self._settings.max_attempts + 1)))
 
-    def _give_up(self, conn: _Conn) -> None:
-        """The final answer, at once: a refusal where trying again is harmless, else a failure."""
-        del self._conns[conn.request.id]
+    def _refuse_or_fail(self, connection: _Connection) -> None:
+        """Give the final answer: a refusal where trying again is harmless, else a failure."""
+        del self._connections[connection.request.id]
         wait = self._settings.retry_after_max
-        self._out.append(Refuse(conn.request.id, wait) if self._harmless(conn) else Fail(conn.request.id))
-
-    def _harmless(self, conn: _Conn) -> bool:
-        """Rule 2: whether the client may be told that trying again is harmless."""
-        kind = conn.kind
-        return conn.ran is None or kind.repeat is Repeat.SAFE or (
-            kind.repeat is Repeat.KEYED and kind.scope is KeyScope.ALL and self._window(conn) > 0)
-
-    # The exceptions, in their order. Each returns the candidates that remain; nobody left: it is passed over.
-
-    def _healthy(self, _conn: _Conn, nodes: list[_Node]) -> list[_Node]:
-        """Danger: a sick server answers fast or holds nothing, so its sum is least and it draws everybody."""
-        return [node for node in nodes
-                if node.fails < DOUBT or (node.aside_until <= self._now and not node.pending)]
-
-    def _untried(self, conn: _Conn, nodes: list[_Node]) -> list[_Node]:
-        """Danger: a failed set-up lowers that server's sum, and the next attempt goes back to it."""
-        return [node for node in nodes if node.id not in conn.tried] if conn.tried else nodes
-
-    def _within(self, conn: _Conn, nodes: list[_Node]) -> list[_Node]:
-        """Danger: sums know no speed; a slow or crowded server keeps its full share past its capacity."""
-        return [node for node in nodes if node.limit == math.inf or self._room(node, conn, 1.0)]
-
-    def _gathered(self, conn: _Conn, nodes: list[_Node]) -> list[_Node]:
-        """Danger: balancers share nothing; a group starts at as many servers as there are balancers."""
-        if conn.group is None or any(conn.group in node.groups for node in nodes) or (
-                len(self._conns) > OWN_PART * (1 + sum([len(node.groups) for node in self._ready]))):
-            return nodes
-        mark = _mark(conn.group)  # the first in an order that is the group's own, and all balancers' alike
-        start = max(nodes, key=lambda node: (node.mark ^ mark) * SPREAD & MARKS)
-        most = min(node.total for node in nodes) + GATHER * self._mean_hint
-        return [start] if start.total <= most else nodes
-
-    def _known(self, _conn: _Conn, nodes: list[_Node]) -> list[_Node]:
-        """Danger: with fewer connections than servers an empty sum says only that a server is not known.
-
-        While strain is told: where a connection of ours stands, that told us something, or that are new."""
-        if self._now - self._strain_at >= LIMIT_HOLD or len(self._conns) > len(self._ready):
-            return nodes
-        return [node for node in nodes
-                if len(node.held) > node.pending or node.limit != math.inf or node.server.started_at]
-
-    def _renewed(self, conn: _Conn, nodes: list[_Node]) -> list[_Node]:
-        """Danger: most sums of a thin balancer are nothing, at old servers that carry what left with others
-        and at new ones that carry little. Compared as two wholes, even a handful of connections tells. And
-        rounded up to a connection by each balancer, the part of one cold server is that of twenty."""
-        if not self._new or len(self._new) == len(self._ready):
-            return nodes
-        held = sum([node.total for node in self._new])
-        missing = sum([1.0 - self._power(node) for node in self._cold])
-        whole = sum([node.total for node in self._ready]) + conn.load
-        part = whole * (len(self._new) - missing) / (len(self._ready) - missing)
-        if held + conn.load > part + self._lot * conn.load:
-            return nodes
-        return [node for node in nodes if node.server.started_at]
-
-    def _near(self, conn: _Conn, nodes: list[_Node]) -> list[_Node]:
-        """Danger: crossing costs on each message, and sums closer than their own noise tell nothing apart."""
-        sums = self._sums(conn, nodes)
+        self._actions.append(
+            Refuse(connection.request.id, wait)
+            if self._retry_is_harmless(connection)
+            else Fail(connection.request.id)
+        )
+
+    def _retry_is_harmless(self, connection: _Connection) -> bool:
+        """Rule 2: whether the client may be told that it can try again without a second effect."""
+        request_class = connection.request_class
+        return (
+            connection.may_have_run is None
+            or request_class.repeat is Repeat.SAFE
+            or (
+                request_class.repeat is Repeat.KEYED
+                and request_class.scope is KeyScope.ALL
+                and self._repeat_window_left(connection) > 0
+            )
+        )
+
+    # Filters, in the order in which they apply. Each returns the candidates that remain; if none does, the
+    # filter is skipped.
+
+    def _keep_healthy(self, _connection: _Connection, records: list[_ServerRecord]) -> list[_ServerRecord]:
+        """Drop ejected servers; one whose ejection is over gets one attempt at a time.
+
+        An unhealthy server fails fast or holds nothing, so its sum is least and it would attract every
+        request.
+        """
+        return [
+            record
+            for record in records
+            if record.failures < EJECTION_FAILURES
+            or (record.ejected_until <= self._now and not record.pending_attempts)
+        ]
+
+    def _keep_untried(self, connection: _Connection, records: list[_ServerRecord]) -> list[_ServerRecord]:
+        """Drop servers that this request has tried.
+
+        A failed set-up lowers the server's sum, so the next attempt would go back to it.
+        """
+        return (
+            [record for record in records if record.id not in connection.tried_servers]
+            if connection.tried_servers
+            else records
+        )
+
+    def _keep_within_limit(
+        self, connection: _Connection, records: list[_ServerRecord]
+    ) -> list[_ServerRecord]:
+        """Drop servers that have reached their limit.
+
+        Sums do not reflect a server's speed: a slow or crowded one would get its full share past its
+        capacity.
+        """
+        return [
+            record
+            for record in records
+            if record.limit == math.inf or self._has_room(record, connection, 1.0)
+        ]
+
+    def _keep_group_start(self, connection: _Connection, records: list[_ServerRecord]) -> list[_ServerRecord]:
+        """Keep the one server at which all balancers start a group, unless it holds too much already.
+
+        Balancers share no state, so a group would otherwise start at as many servers as there are
+        balancers. The server comes first in the group's own order of servers, which is the same at all
+        balancers. The filter does not apply to a group that has connections at a candidate, nor at a
+        balancer that holds several connections of each group and can choose by its own sums.
+        """
+        if (
+            connection.group is None
+            or any(connection.group in record.groups for record in records)
+            or (
+                len(self._connections)
+                > LOCAL_GROUP_START_CONNECTIONS
+                * (1 + sum([len(record.groups) for record in self._ready_records]))
+            )
+        ):
+            return records
+        group_hash = _hash64(connection.group)
+        start = max(records, key=lambda record: (record.id_hash ^ group_hash) * HASH_MULTIPLIER & HASH_MASK)
+        most = min(record.load_sum for record in records) + GROUP_START_SLACK_HINTS * self._mean_hint
+        return [start] if start.load_sum <= most else records
+
+    def _keep_known(self, _connection: _Connection, records: list[_ServerRecord]) -> list[_ServerRecord]:
+        """While overload is reported, keep servers with an open connection from here, with a limit, or new.
+
+        With fewer connections than servers, an empty sum only says that this balancer does not know the
+        server.
+        """
+        if self._now - self._overload_at >= LIMIT_HOLD_MS or len(self._connections) > len(
+            self._ready_records
+        ):
+            return records
+        return [
+            record
+            for record in records
+            if len(record.connections) > record.pending_attempts
+            or record.limit != math.inf
+            or record.server.started_at
+        ]
+
+    def _keep_new(self, connection: _Connection, records: list[_ServerRecord]) -> list[_ServerRecord]:
+        """Keep new servers while all of them together hold less than their share of this balancer's load.
+
+        Most sums of a balancer with few connections are 0, both at old servers that took over the load of
+        those that were replaced and at new ones that carry little. Comparing the new servers as a whole
+        with all servers works even for a handful of connections. The share is rounded at random: if each
+        balancer rounded it up to a connection, a single cold server would get the share of twenty.
+        """
+        if not self._new_records or len(self._new_records) == len(self._ready_records):
+            return records
+        held = sum([record.load_sum for record in self._new_records])
+        missing = sum([1.0 - self._capacity_share(record) for record in self._cold_records])
+        whole = sum([record.load_sum for record in self._ready_records]) + connection.load
+        share = whole * (len(self._new_records) - missing) / (len(self._ready_records) - missing)
+        if held + connection.load > share + self._new_servers_offset * connection.load:
+            return records
+        return [record for record in records if record.server.started_at]
+
+    def _keep_own_zone(self, connection: _Connection, records: list[_ServerRecord]) -> list[_ServerRecord]:
+        """Of the servers whose sums are equal to the least one within their noise, keep those of this zone.
+
+        Crossing zones has a price for each message, and a difference within the noise is no reason to pay
+        it.
+        """
+        sums = self._sums_with(connection, records)
         least = min(sums)
-        held = nodes[sums.index(least)].held.values()
-        limit = least + HINT_NOISE * math.sqrt(sum(each.load * each.load for each in held))
-        close = [node for node, total in zip(nodes, sums, strict=True) if total <= limit]
-        return [node for node in close if node.server.zone == self._settings.zone]
-
-    # Overload and strain.
-
-    def _overloaded(self, conn: _Conn, nodes: list[_Node]) -> bool:
-        """Danger: past the fleet's capacity each further connection spoils the others. Refuse if harmless."""
-        part = OVER_SHARE_PART if self._over_share(conn) else 1.0
-        if not self._harmless(conn):
+        held = records[sums.index(least)].connections.values()
+        limit = least + SUM_NOISE_FACTOR * math.sqrt(sum(each.load * each.load for each in held))
+        close = [record for record, total in zip(records, sums, strict=True) if total <= limit]
+        return [record for record in close if record.server.zone == self._settings.zone]
+
+    # Overload and limits.
+
+    def _must_shed(self, connection: _Connection, records: list[_ServerRecord]) -> bool:
+        """Whether to refuse the request because the servers are overloaded; never where a retry could harm.
+
+        Past the fleet's capacity each further connection slows down all others. Servers known to this
+        balancer that are all overloaded are evidence for the unknown ones: with n of them, the request is
+        refused with probability n / (n + 1).
+        """
+        fraction = OVER_SHARE_LIMIT_FRACTION if self._is_tenant_over_share(connection) else 1.0
+        if not self._retry_is_harmless(connection):
             return False
-        healthy = self._healthy(conn, nodes)
-        if not any(self._room(node, conn, part) for node in healthy):
+        healthy = self._keep_healthy(connection, records)
+        if not any(self._has_room(record, connection, fraction) for record in healthy):
             return True
-        known = [node for node in healthy if len(node.held) > node.pending or node.part]
-        return all(self._fresh(node) for node in known) and self._rng.random() < len(known) / (len(known) + 1)
-
-    def _fresh(self, node: _Node) -> bool:
-        """Whether the server has told of strain, and not of calm since."""
-        return self._now - node.limit_at < LIMIT_HOLD and node.limit != math.inf
-
-    def _room(self, node: _Node, conn: _Conn, part: float) -> bool:
-        """Danger: many balancers hold a connection or two here, and each rounds its part down to nothing."""
-        return self._sums(conn, [node])[0] <= self._limit(node) * part + node.luck * conn.load
-
-    def _over_share(self, conn: _Conn) -> bool:
-        """Whether its tenant holds more of its quota than all tenants do of theirs, whatever our part."""
-        if not self._quota:
+        known = [
+            record
+            for record in healthy
+            if len(record.connections) > record.pending_attempts or record.share_before_drain
+        ]
+        return all(self._is_overloaded(record) for record in known) and self._random.random() < len(known) / (
+            len(known) + 1
+        )
+
+    def _is_overloaded(self, record: _ServerRecord) -> bool:
+        """Whether the server signalled overload recently and has not reported a short delay since."""
+        return self._now - record.limit_set_at < LIMIT_HOLD_MS and record.limit != math.inf
+
+    def _has_room(self, record: _ServerRecord, connection: _Connection, fraction: float) -> bool:
+        """Whether the connection fits under this fraction of the server's limit, rounded at random.
+
+        Without the rounding, many balancers that hold a connection or two each would all take nothing more.
+        """
+        return (
+            self._sums_with(connection, [record])[0]
+            <= self._current_limit(record) * fraction + record.rounding_offset * connection.load
+        )
+
+    def _is_tenant_over_share(self, connection: _Connection) -> bool:
+        """Whether the tenant's part of the connections here exceeds its part of the sum of all quotas.
+
+        This holds however large a part of the fleet's connections this balancer has.
+        """
+        if not self._total_quota:
             return False
-        tenant = conn.request.tenant
-        part = self._settings.tenants[tenant].connections / self._quota
-        return self._standing[tenant] > part * sum(self._standing)
+        tenant = connection.request.tenant
+        quota_share = self._settings.tenants[tenant].connections / self._total_quota
+        return self._tenant_connections[tenant] > quota_share * sum(self._tenant_connections)
 
-    def _on_delay(self, event: DelayReported) -> None:
-        """Danger: a crowded server keeps its share. What it holds when it tells of strain is its limit."""
-        if (node := self._nodes.get(event.server)) is None:
+    def _on_delay_reported(self, event: DelayReported) -> None:
+        """Make what this balancer holds at an overloaded server its limit there.
+
+        Without a limit a crowded server would keep getting its full share.
+        """
+        if (record := self._records.get(event.server)) is None:
             return
-        if event.delay < STRAIN * self._least_aim:
-            node.limit_at = self._now - LIMIT_HOLD  # calm again: the limit may rise from now on
-        elif event.delay < self._least_aim:
-            self._strained(node, 1.0)
+        if event.delay < OVERLOAD_DELAY_FRACTION * self._shortest_message_aim:
+            record.limit_set_at = self._now - LIMIT_HOLD_MS  # the limit may rise from now on
+        elif event.delay < self._shortest_message_aim:
+            self._set_limit(record, 1.0)
         else:
-            self._strained(node, 0.0 if event.delay >= STALL else 1 - LIMIT_CUT)
-            self._relieve(node)
-
-    def _strained(self, node: _Node, part: float) -> None:
-        node.part *= part
-        node.limit, node.limit_at = max(min(self._limit(node), node.total) * part, node.part), self._now
-        self._strain_at = self._now
-
-    def _limit(self, node: _Node) -> float:
-        """What the sum may rise to: held while strain is fresh, then growing, for strain passes."""
-        hint, calm = self._mean_hint, (self._now - node.limit_at - LIMIT_HOLD) / 1000
-        refill = REFILL * (hint * (len(self._conns) - len(node.held)) / len(self._nodes) - 2 * node.limit)
-        rate = max(LIMIT_GROWTH * node.limit, refill) + hint / self._settings.fleet_size  # all raise it
-        return node.limit if calm <= 0 else node.limit + calm * rate
-
-    def _relieve(self, node: _Node) -> None:
-        """Danger: a strained server stays so while its connections last. Move off what is over its limit.
-        With one a server or less, that part of them is too few to help: the price of moves sets the pace."""
-        held = len(self._conns)  # thin: one a server at most
-        rate = max(MOVE_PACE * held, self._thin_pace * min(held, len(self._ready)))
-        strained = sum([self._fresh(each) for each in self._ready])  # a stalled one holds them for nothing
-        price = 0.0 if not node.limit and 2 * strained <= len(self._ready) < len(self._conns) else 1.0
-        self._move_credit = min(self._move_credit + rate * (self._now - self._move_at) / 1000, max(rate, 1.0))
-        self._move_at = self._now
-        excess = node.total - node.limit - sum(conn.load for conn in node.held.values() if conn.moving)
-        for conn in sorted(node.held.values(), key=self._value):
-            if conn.up and not conn.moving and excess > node.luck * conn.load and self._move_credit >= price:
+            self._set_limit(record, 0.0 if event.delay >= STALL_DELAY_MS else 1 - LIMIT_CUT_FRACTION)
+            self._move_excess(record)
+
+    def _set_limit(self, record: _ServerRecord, fraction: float) -> None:
+        """Limit the server's sum to this fraction of what it is, or of the present limit if that is less."""
+        record.share_before_drain *= fraction
+        record.limit, record.limit_set_at = (
+            max(min(self._current_limit(record), record.load_sum) * fraction, record.share_before_drain),
+            self._now,
+        )
+        self._overload_at = self._now
+
+    def _current_limit(self, record: _ServerRecord) -> float:
+        """What the server's sum may rise to: constant after an overload signal, then growing, as it passes.
+
+        It grows by a fraction of itself, or faster where a server is nearly empty compared with the others,
+        and by one mean hint a second in the fleet as a whole, as all balancers raise their limits together.
+        """
+        hint, seconds = self._mean_hint, (self._now - record.limit_set_at - LIMIT_HOLD_MS) / 1000
+        refill = LIMIT_REFILL_PER_S * (
+            hint * (len(self._connections) - len(record.connections)) / len(self._records) - 2 * record.limit
+        )
+        rate = max(LIMIT_GROWTH_PER_S * record.limit, refill) + hint / self._settings.fleet_size
+        return record.limit if seconds <= 0 else record.limit + seconds * rate
+
+    def _move_excess(self, record: _ServerRecord) -> None:
+        """Move connections off a server that is over its limit, at a bounded rate, least worth first.
+
+        An overloaded server would otherwise stay so for as long as its connections last. A sparse balancer,
+        one with a connection per server at most, has too few for `MOVE_RATE_PER_S` of them to help; its
+        rate follows from the price of a move. Moves off a stalled server are not counted while at most half
+        of the servers are overloaded, because a connection there gets nothing done; sparse balancers count
+        them, as they know too little of the other servers.
+        """
+        held = len(self._connections)
+        rate = max(MOVE_RATE_PER_S * held, self._sparse_move_rate * min(held, len(self._ready_records)))
+        overloaded = sum([self._is_overloaded(each) for each in self._ready_records])
+        price = (
+            0.0
+            if not record.limit and 2 * overloaded <= len(self._ready_records) < len(self._connections)
+            else 1.0
+        )
+        self._move_credit = min(
+            self._move_credit + rate * (self._now - self._move_credit_at) / 1000, max(rate, 1.0)
+        )
+        self._move_credit_at = self._now
+        excess = (
+            record.load_sum
+            - record.limit
+            - sum(connection.load for connection in record.connections.values() if connection.moving)
+        )
+        for connection in sorted(record.connections.values(), key=self._worth_of):
+            if (
+                connection.established
+                and not connection.moving
+                and excess > record.rounding_offset * connection.load
+                and self._move_credit >= price
+            ):
                 self._move_credit -= price
-                conn.moving = True
-                excess -= conn.load
-                self._out.append(Move(conn.request.id))
-
-    def _value(self, conn: _Conn) -> float:
-        """What a unit of its work is worth."""
-        return conn.kind.worth * (self._settings.over_share_worth if self._over_share(conn) else 1.0)
-
-    def _set_aside(self, node: _Node, result: Result) -> None:
-        """A failed set-up: stay away for a while that grows with each further one.
-
-        Danger: networks also break set-ups at sound servers. One that breaks off alone says nothing."""
-        doubt = 1 if result in (Result.UNREACHABLE, Result.RESET) else DOUBT
-        if node.fails < DOUBT <= node.fails + doubt:
-            self._out.append(Note(f"server {node.id} set aside: {result.value}"))
-        node.fails = min(node.fails + doubt, BACKOFF_STEPS)
-        node.aside_until = self._now + BACKOFF * 2 ** node.fails * self._rng.uniform(0.5, 1.0)
-
-    # Rule 4: a server that has just started.
-
-    def _cold_age(self, node: _Node) -> float | None:
-        """Time since the start of a server that may still be cold."""
-        age = self._now - node.server.started_at
-        return max(age, 0.0) if node.server.started_at and age < self._settings.cold_time else None
-
-    def _warm_peers(self) -> dict[int | None, float]:
-        """What a warm peer of each kind, and of any, carries on average: our part of what a cold one will do.
-
-        Danger: of two kinds one is twice as fast, and what the fast carry pushes a slow one over."""
+                connection.moving = True
+                excess -= connection.load
+                self._actions.append(Move(connection.request.id))
+
+    def _worth_of(self, connection: _Connection) -> float:
+        """What a unit of the connection's work is worth."""
+        return connection.request_class.worth * (
+            self._settings.over_share_worth if self._is_tenant_over_share(connection) else 1.0
+        )
+
+    def _count_failure(self, record: _ServerRecord, result: Result) -> None:
+        """Count a failed set-up; from `EJECTION_FAILURES` on, eject the server with exponential backoff.
+
+        A set-up that breaks off counts as one failure, since networks break set-ups at healthy servers too;
+        any other counts as enough to eject the server at once.
+        """
+        weight = 1 if result in (Result.UNREACHABLE, Result.RESET) else EJECTION_FAILURES
+        if record.failures < EJECTION_FAILURES <= record.failures + weight:
+            self._actions.append(Note(f"server {record.id} set aside: {result.value}"))
+        record.failures = min(record.failures + weight, FAILURES_MAX)
+        record.ejected_until = self._now + EJECTION_BASE_MS * 2**record.failures * self._random.uniform(
+            0.5, 1.0
+        )
+
+    # Rule 4: servers that have just started.
+
+    def _cold_age(self, record: _ServerRecord) -> float | None:
+        """Time since the server's start while it may be cold; None for a warm server."""
+        age = self._now - record.server.started_at
+        return max(age, 0.0) if record.server.started_at and age < self._settings.cold_time else None
+
+    def _mean_warm_sums(self) -> dict[int | None, float]:
+        """The mean sum of warm servers of each kind, and of all kinds under None; without any, empty.
+
+        It is this balancer's share of what a cold server of that kind will carry. The kinds are kept apart
+        because of two kinds one may be twice as fast, and its mean sum would overload a slow server.
+        """
         sums: dict[int | None, list[int]] = {}
-        for node in self._ready:
-            if self._cold_age(node) is None:
-                sums.setdefault(node.server.kind, []).append(node.total)
+        for record in self._ready_records:
+            if self._cold_age(record) is None:
+                sums.setdefault(record.server.kind, []).append(record.load_sum)
         if sums:
             sums[None] = [total for kind in sums.values() for total in kind]
         return {kind: sum(totals) / len(totals) for kind, totals in sums.items()}
 
-    def _fits_cold(self, node: _Node, conn: _Conn, peers: dict[int | None, float]) -> bool:
-        """Danger: all balancers see its empty sum and push it over together, each of them in the right. And
-        used for less than it can do, it leaves a fleet of which most is new to the few that are warm."""
-        settings, sent, push = self._settings, node.sent, self._push(conn)
-        peer = peers.get(node.server.kind, peers.get(None, self._mean_hint))
-        share = self._power(node)
-        if node.total + conn.load > peer * share + node.luck * conn.load:
+    def _fits_cold_budget(
+        self, record: _ServerRecord, connection: _Connection, warm_sums: dict[int | None, float]
+    ) -> bool:
+        """Whether an attempt fits a cold server's share of a warm sum and its budget for this window.
+
+        All balancers see the cold server's empty sum and would overload it together, though each places
+        little. The budget uses all that the server can do already: a fleet of mostly new servers would
+        otherwise leave the load to the few warm ones.
+        """
+        settings, sent, load = self._settings, record.cold_sends, self._cold_budget_load(connection)
+        warm_sum = warm_sums.get(record.server.kind, warm_sums.get(None, self._mean_hint))
+        share = self._capacity_share(record)
+        if record.load_sum + connection.load > warm_sum * share + record.rounding_offset * connection.load:
             return False
         while sent and sent[0][0] <= self._now - settings.cold_budget_window:
             sent.popleft()
         budget = (
-            settings.cold_budget_multiple * share * peer * settings.cold_budget_window / settings.cold_time)
-        return sum([each for _, each in sent]) + push <= budget + node.luck * push
-
-    def _power(self, node: _Node) -> float:
-        """The least part of its power that a server has now."""
-        age, cold = self._cold_age(node), self._settings.cold_share
+            settings.cold_budget_multiple
+            * share
+            * warm_sum
+            * settings.cold_budget_window
+            / settings.cold_time
+        )
+        return sum([each for _, each in sent]) + load <= budget + record.rounding_offset * load
+
+    def _capacity_share(self, record: _ServerRecord) -> float:
+        """The fraction of its full capacity that a server has now at least."""
+        age, cold = self._cold_age(record), self._settings.cold_share
         return 1.0 if age is None else cold + (1 - cold) * age / self._settings.cold_time
 
-    def _push(self, conn: _Conn) -> float:
-        """What a set-up counts for in the cold budget: small hints often err, and only they would fit."""
-        return max(conn.load, self._mean_hint)
+    def _cold_budget_load(self, connection: _Connection) -> float:
+        """What a set-up counts for in a cold server's budget: its load, but no less than the mean hint.
 
-    # The roster and notes.
+        Small hints are often wrong, and otherwise only small hints would fit into the budget.
+        """
+        return max(connection.load, self._mean_hint)
+
+    # The server list, and loads as reported.
 
     def _on_timer(self, _event: TimerFired) -> None:
-        self._asked_at = self._now
-        self._out.append(WatchServerList())
+        self._called_at = self._now
+        self._actions.append(WatchServerList())
 
-    def _on_roster(self, event: ServerListChanged) -> None:
-        self._asked_at = self._now
+    def _on_server_list_changed(self, event: ServerListChanged) -> None:
+        self._called_at = self._now
         if event.kind not in (ServerListKind.REMEMBERED, ServerListKind.LEAVING):
-            self._watching, self._asks_failed, self._queued = True, 0, False
+            self._watching, self._failed_calls, self._discovery_queued = True, 0, False
         if event.kind not in (ServerListKind.CHANGES, ServerListKind.LEAVING):
             named = {server.id for server in event.servers}
-            for node in self._nodes.values():
-                if node.id not in named:
-                    node.server = node.server._replace(state=ServerState.GONE)
+            for record in self._records.values():
+                if record.id not in named:
+                    record.server = record.server._replace(state=ServerState.GONE)
         for server in event.servers:
-            known = self._nodes.get(server.id)
+            known = self._records.get(server.id)
             if known is None:
-                self._nodes[server.id] = _Node(server, self._rng.random())
+                self._records[server.id] = _ServerRecord(server, self._random.random())
             else:
                 known.server = server
-        self._nodes = {node.id: node for node in self._nodes.values()
-                       if node.server.state is not ServerState.GONE or node.held}
-        self._ready = [node for node in self._nodes.values() if node.server.state is ServerState.READY]
-        self._new = [node for node in self._ready if node.server.started_at]
-        self._cold = [node for node in self._new if self._cold_age(node) is not None]
-        leaving = [conn for node in self._nodes.values() if node.server.state is ServerState.DRAINING
-                   for conn in node.held.values() if conn.up and not conn.moving]
-        for conn in leaving:  # Danger: what still stands on a server when it goes is cut off, all at once
-            conn.moving = True
-            self._out.append(Move(conn.request.id))
-
-    def _on_roster_moved(self, _event: DiscoveryChanged) -> None:
-        """Danger: failures of one queue put off the calls to another, past what it counts as having told."""
-        self._watching, self._asks_failed, self._queued, self._asked_at = False, 0, False, self._now
-
-    def _on_roster_failed(self, _event: ServerListFailed) -> None:
-        """Danger: discovery is one queue for all; calls given up still fill it, and repeated at once none is
-        served again. Nor while most of that queue is made of calls given up: after a failure that took long
-        the next call waits that out, and from the fourth on each doubles the wait, by lot. But what it knows
-        counts as told 6 s after it can be reached: a wait of 4 s and a call fit, a held one not."""
-        self._queued |= not self._watching and self._now - self._asked_at >= QUEUED
-        self._asks_failed += 1
-        if self._watching or self._asks_failed == 1:
-            self._out.append(Note("roster lost, asking again"))
+        self._records = {
+            record.id: record
+            for record in self._records.values()
+            if record.server.state is not ServerState.GONE or record.connections
+        }
+        self._ready_records = [
+            record for record in self._records.values() if record.server.state is ServerState.READY
+        ]
+        self._new_records = [record for record in self._ready_records if record.server.started_at]
+        self._cold_records = [record for record in self._new_records if self._cold_age(record) is not None]
+        leaving = [
+            connection
+            for record in self._records.values()
+            if record.server.state is ServerState.DRAINING
+            for connection in record.connections.values()
+            if connection.established and not connection.moving
+        ]
+        # When the server stops, it cuts off all connections that are still open, at once.
+        for connection in leaving:
+            connection.moving = True
+            self._actions.append(Move(connection.request.id))
+
+    def _on_discovery_changed(self, _event: DiscoveryChanged) -> None:
+        """Forget failed calls.
+
+        Failures in one discovery's queue would delay the calls to the next one, until after the time at
+        which the balancer counts as knowing its list.
+        """
+        self._watching, self._failed_calls, self._discovery_queued, self._called_at = (
+            False,
+            0,
+            False,
+            self._now,
+        )
+
+    def _on_server_list_failed(self, _event: ServerListFailed) -> None:
+        """Set the timer for the next call to discovery, with exponential backoff and jitter.
+
+        Discovery serves all balancers from one queue, and works through calls that their callers have given
+        up too. Calls repeated at once would keep the queue full of such calls, and none would be served
+        again. After a failure that took so long that the call was in that queue, the next call therefore
+        waits longer, and from the fourth failure on each doubles the wait. All other waits stay short: a
+        balancer counts as knowing what discovery knows 6 s after discovery can be reached, which leaves
+        time for a wait of 4 s and a call, but not for a wait and a call that is held in the queue as well.
+        """
+        self._discovery_queued |= not self._watching and self._now - self._called_at >= QUEUED_CALL_MS
+        self._failed_calls += 1
+        if self._watching or self._failed_calls == 1:
+            self._actions.append(Note("roster lost, asking again"))
         self._watching = False
-        failed = min(self._asks_failed, 9)
-        if self._queued and failed > TRIES:  # no longer than all would take, one after another
-            most = min(3 * self._settings.watch_retry_within, ASK_WORK * self._settings.fleet_size)
-            wait = min(ASK_MOST * 2 ** (failed - 2), max(ASK_MOST, most))
+        failed = min(self._failed_calls, 9)
+        if self._discovery_queued and failed > QUEUED_CALLS_BEFORE_BACKOFF:
+            # No longer than the calls of all balancers take, one after another.
+            longest = min(
+                3 * self._settings.watch_retry_within, DISCOVERY_CALL_WORK_MS * self._settings.fleet_size
+            )
+            wait = min(RETRY_MAX_MS * 2 ** (failed - 2), max(RETRY_MAX_MS, longest))
         else:
-            wait = ASK_MOST if self._queued else min(ASK_AGAIN * 2 ** (failed - 1), ASK_MOST)
-        self._out.append(SetTimer(ROSTER_TIMER, wait * self._rng.uniform(0.3, 1.0)))
-
-    def _on_load(self, event: LoadReported) -> None:
-        """Danger: a hint is rough and usual; where the present load is told, that counts in its place."""
-        conn = self._live(event.request, event.attempt)
-        if conn is not None and conn.node is not None:
+            wait = (
+                RETRY_MAX_MS
+                if self._discovery_queued
+                else min(RETRY_BASE_MS * 2 ** (failed - 1), RETRY_MAX_MS)
+            )
+        self._actions.append(SetTimer(RETRY_TIMER_TOKEN, wait * self._random.uniform(0.3, 1.0)))
+
+    def _on_load_reported(self, event: LoadReported) -> None:
+        """Count the connection with its present load in place of its hint, which is only a rough average."""
+        connection = self._find_current_attempt(event.request, event.attempt)
+        if connection is not None and connection.record is not None:
             load = round(event.load)
-            if conn.request.hint is None:
-                self._learn_hint(event.load)
-            conn.node.total += load - conn.load
-            conn.load = load
+            if connection.request.hint is None:
+                self._update_mean_hint(event.load)
+            connection.record.load_sum += load - connection.load
+            connection.load = load
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -20,11 +20,11 @@
     """A new process at this moment: it adopts what stands, and learns what the old one knew."""
     new = BalancerDriver(world.settings, seed=99, now=world.now)
     old = world.balancer
-    new.update_server_list(*(node.server for node in old._nodes.values()), kind=ServerListKind.REMEMBERED)
-    for name, conn in old._conns.items():
-        if conn.node is not None:
+    new.update_server_list(*(node.server for node in old._records.values()), kind=ServerListKind.REMEMBERED)
+    for name, conn in old._connections.items():
+        if conn.record is not None:
             request = Request(name, 0, 0.0, 0, float(conn.load), None, conn.group)
-            new.feed(ConnectionAdopted(request, conn.node.id))
+            new.feed(ConnectionAdopted(request, conn.record.id))
     if learns:
         new.feed(old.learned_state())
     return new
@@ -46,11 +46,11 @@
         world.update_server_list(make_server("a"), make_server("cold", started_at=world.now - 100.0))
         for _ in range(30):
             world.open_connection()
-        for node in world.balancer._nodes.values():
-            for name in list(node.held):
+        for node in world.balancer._records.values():
+            for name in list(node.connections):
                 if node.id == "cold":  # they end at once; what was sent still counts
                     world.end_attempt(name, Result.OK)
-        assert world.balancer._nodes["cold"].sent
+        assert world.balancer._records["cold"].cold_sends
         new = next_process(world, learns)
         return sum(new.open_connection() == "cold" for _ in range(10))
 
@@ -129,7 +129,7 @@
     limits = []
     for _ in range(12):
         world.report_delay(one, where, 200.0)
-        limits.append(world.balancer._nodes[where].limit)
+        limits.append(world.balancer._records[where].limit)
         world.advance(1000.0)
     assert limits == sorted(limits, reverse=True)
     assert limits[-1] < 0.2 * limits[0]
