--- a/tests/lab/test_earlier.py
+++ b/tests/lab/test_earlier.py
@@ -337,6 +337,7 @@
         assert set(fields) <= set(kind.__annotations__), name
 
 
+@pytest.mark.live
 @pytest.mark.parametrize("former", [True, False])
 def test_a_placement_is_timed_in_checkouts_of_both_kinds(former: bool, former_checkout: Path) -> None:
     checkout = former_checkout if former else ROOT
