--- a/switchhub/decision/placement.py
+++ b/switchhub/decision/placement.py
@@ -623,11 +623,13 @@
         """
         if not self._new_records or len(self._new_records) == len(self._ready_records):
             return records
-        held = sum([record.load_sum for record in self._new_records])
-        missing = sum([1.0 - self._capacity_share(record) for record in self._cold_records])
-        whole = sum([record.load_sum for record in self._ready_records]) + connection.load
-        share = whole * (len(self._new_records) - missing) / (len(self._ready_records) - missing)
-        if held + connection.load > share + self._new_servers_offset * connection.load:
+        new_load = sum([record.load_sum for record in self._new_records])
+        cold_deficit = sum([1.0 - self._capacity_share(record) for record in self._cold_records])
+        total_load = sum([record.load_sum for record in self._ready_records]) + connection.load
+        share = (
+            total_load * (len(self._new_records) - cold_deficit) / (len(self._ready_records) - cold_deficit)
+        )
+        if new_load + connection.load > share + self._new_servers_offset * connection.load:
             return records
         return [record for record in records if record.server.started_at]
 
@@ -639,9 +641,9 @@
         """
         sums = self._sums_with(connection, records)
         least = min(sums)
-        held = records[sums.index(least)].connections.values()
-        limit = least + SUM_NOISE_FACTOR * math.sqrt(sum(each.load * each.load for each in held))
-        close = [record for record, total in zip(records, sums, strict=True) if total <= limit]
+        connections = records[sums.index(least)].connections.values()
+        highest = least + SUM_NOISE_FACTOR * math.sqrt(sum(each.load * each.load for each in connections))
+        close = [record for record, total in zip(records, sums, strict=True) if total <= highest]
         return [record for record in close if record.server.zone == self._settings.zone]
 
     # Overload and limits.
@@ -739,8 +741,11 @@
         of the servers are overloaded, because a connection there gets nothing done; sparse balancers count
         them, as they know too little of the other servers.
         """
-        held = len(self._connections)
-        rate = max(MOVE_RATE_PER_S * held, self._sparse_move_rate * min(held, len(self._ready_records)))
+        connection_count = len(self._connections)
+        rate = max(
+            MOVE_RATE_PER_S * connection_count,
+            self._sparse_move_rate * min(connection_count, len(self._ready_records)),
+        )
         overloaded = sum([self._is_overloaded(each) for each in self._ready_records])
         price = (
             0.0
@@ -806,7 +811,7 @@
             if self._cold_age(record) is None:
                 sums.setdefault(record.server.kind, []).append(record.load_sum)
         if sums:
-            sums[None] = [total for kind in sums.values() for total in kind]
+            sums[None] = [total for totals in sums.values() for total in totals]
         return {kind: sum(totals) / len(totals) for kind, totals in sums.items()}
 
     def _fits_cold_budget(
@@ -862,11 +867,11 @@
                 if record.id not in named:
                     record.server = record.server._replace(state=ServerState.GONE)
         for server in event.servers:
-            known = self._records.get(server.id)
-            if known is None:
+            existing = self._records.get(server.id)
+            if existing is None:
                 self._records[server.id] = _ServerRecord(server, self._random.random())
             else:
-                known.server = server
+                existing.server = server
         self._records = {
             record.id: record
             for record in self._records.values()
