--- a/tests/balancer_driver.py
+++ b/tests/balancer_driver.py
@@ -1,4 +1,4 @@
-"""A balancer driven by hand: the test plays clients, servers and roster."""
+"""Drives one balancer's decision module: the test plays its clients, its servers and discovery."""
 
 from __future__ import annotations
 
@@ -83,21 +83,22 @@
 
 
 class BalancerDriver:
-    """Feeds one balancer and keeps what it did."""
+    """Passes events to one balancer on a clock of its own, and records its actions."""
 
     def __init__(self, settings: Settings | None = None, seed: int = 1, now: float = 1000.0) -> None:
         self.settings = settings or make_settings()
         self.now = now
         self.balancer = Balancer(self.settings, seed)
         self.actions: list[Action] = list(self.balancer.start(now))
-        self.last: list[Action] = []
-        self.count = 0
-        self.adopted: dict[str, str] = {}
-        self.attempts: dict[str, int] = {}
-        self.timers: list[tuple[float, int]] = []
-        self._keep(self.actions)
-
-    def _keep(self, actions: list[Action]) -> None:
+        self.last: list[Action] = []  # actions of the last event
+        self.request_count = 0  # for request ids
+        self.adopted: dict[str, str] = {}  # server of each adopted connection, by request id
+        self.attempts: dict[str, int] = {}  # number of the current attempt, by request id
+        self.timers: list[tuple[float, int]] = []  # when due, and token
+        self._record(self.actions)
+
+    def _record(self, actions: list[Action]) -> None:
+        """Number the attempts and keep the timers."""
         for action in actions:
             if isinstance(action, Attempt):
                 self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
@@ -105,14 +106,15 @@
                 self.timers.append((self.now + action.delay, action.token))
 
     def feed(self, event: Event) -> list[Action]:
+        """Pass an event on; the actions that it leads to."""
         self.last = list(self.balancer.handle(self.now, event))
         self.actions += self.last
-        self._keep(self.last)
+        self._record(self.last)
         return self.last
 
-    def advance(self, span: float) -> None:
-        """Let time pass, firing the timers that come due."""
-        end = self.now + span
+    def advance(self, duration: float) -> None:
+        """Let time pass, in milliseconds, and fire the timers that come due."""
+        end = self.now + duration
         while True:
             due = [timer for timer in self.timers if timer[0] <= end]
             if not due:
@@ -126,6 +128,7 @@
     def update_server_list(
         self, *servers: Server, kind: ServerListKind = ServerListKind.WHOLE
     ) -> list[Action]:
+        """Discovery sends a server list; by default a whole one."""
         return self.feed(ServerListChanged(kind, servers))
 
     def send_request(
@@ -137,22 +140,23 @@
         budget: float = 1200.0,
         name: str | None = None,
     ) -> str:
-        """A client's request; its id."""
-        self.count += 1
-        request = name or f"r{self.count}"
+        """A client's new request; its id."""
+        self.request_count += 1
+        request = name or f"r{self.request_count}"
         self.feed(RequestArrived(Request(request, class_index, budget, tenant, hint, None, group)))
         return request
 
-    def adopt(self, where: str, hint: float | None = 1000.0, **more: object) -> str:
-        self.count += 1
-        request = f"r{self.count}"
+    def adopt(self, server_id: str, hint: float | None = 1000.0, **more: object) -> str:
+        """A connection that was open before the start; its request id."""
+        self.request_count += 1
+        request = f"r{self.request_count}"
         group = more.get("group")
         tenant = more.get("tenant", 0)
         assert group is None or isinstance(group, str)
         assert isinstance(tenant, int)
         self.attempts[request] = 0
-        self.adopted[request] = where
-        self.feed(ConnectionAdopted(Request(request, 0, 0.0, tenant, hint, None, group), where))
+        self.adopted[request] = server_id
+        self.feed(ConnectionAdopted(Request(request, 0, 0.0, tenant, hint, None, group), server_id))
         return request
 
     def server_of(self, request: str) -> str:
@@ -162,21 +166,26 @@
         return [a for a in self.actions if isinstance(a, Attempt) and a.request == request][-1].server
 
     def establish(self, request: str, elapsed: float = 20.0) -> list[Action]:
+        """The current attempt's connection is established."""
         return self.feed(ConnectionUp(request, self.attempts[request], self.server_of(request), elapsed))
 
     def end_attempt(
         self, request: str, result: Result, closed: bool | None = None, elapsed: float = 20.0
     ) -> list[Action]:
-        over = result is Result.OK if closed is None else closed
+        """The attempt or open connection ends; without `closed`, the request is over if it went well."""
+        request_closed = result is Result.OK if closed is None else closed
         return self.feed(
-            AttemptEnded(request, self.attempts[request], self.server_of(request), over, elapsed, result)
+            AttemptEnded(
+                request, self.attempts[request], self.server_of(request), request_closed, elapsed, result
+            )
         )
 
-    def report_delay(self, request: str, where: str, delay: float) -> list[Action]:
-        return self.feed(DelayReported(request, self.attempts[request], where, delay))
+    def report_delay(self, request: str, server_id: str, delay: float) -> list[Action]:
+        """A message on this connection took `delay` milliseconds at its server."""
+        return self.feed(DelayReported(request, self.attempts[request], server_id, delay))
 
     def open_connection(self, hint: float | None = 1000.0, **more: object) -> str:
-        """A request that becomes a connection at once; the server that took it."""
+        """A request whose connection is established at once; the server that it was placed at."""
         group, tenant = more.get("group"), more.get("tenant", 0)
         assert group is None or isinstance(group, str)
         assert isinstance(tenant, int)
@@ -185,5 +194,5 @@
         return self.server_of(request)
 
     def last_of(self, kind: type[T]) -> list[T]:
-        """What the last event led to, of one kind."""
+        """The actions of one kind that the last event led to."""
         return [action for action in self.last if isinstance(action, kind)]
--- a/tests/test_discovery_retry.py
+++ b/tests/test_discovery_retry.py
@@ -1,4 +1,4 @@
-"""What many balancers do to what they share: one queue that also works through calls given up."""
+"""Retries of discovery calls: many balancers share one queue, in which calls that were given up stay."""
 
 from __future__ import annotations
 
@@ -24,36 +24,45 @@
 from tests.balancer_driver import BalancerDriver, make_server, make_settings
 from tests.harness import FakeServer, running_balancer
 
-TOLD = 6000.0  # milliseconds after which what discovery has counts as told, from its return or a silence
-WORK, PATIENCE, BOUND = 125.0, 2000.0, 24  # milliseconds a call takes, a caller waits; calls that may wait
+KNOWN_AFTER_MS = 6000.0  # after discovery's return, or the end of a watch, its balancers count as informed
+CALL_WORK_MS = 125.0  # how long discovery works on a call
+CALL_TIMEOUT_MS = 2000.0  # how long a caller waits
+QUEUE_LENGTH_MAX = 24  # calls that may wait in discovery's queue
 
 
-def subscribe(starts: list[float], until: float) -> tuple[list[float], int]:
-    """Balancers that call from these times on: when each was served first, and how many calls failed.
+def simulate_discovery_queue(starts: list[float], until: float) -> tuple[list[float], int]:
+    """When balancers that start to call at these times were served, and how many calls failed.
 
-    Calls wait in one queue; one that has waited too long fails, but is worked through in its turn."""
+    Calls wait in one queue. A call that has waited too long fails, but still takes its turn in the queue.
+    """
     balancers = [Balancer(make_settings(fleet_size=len(starts)), seed) for seed in range(len(starts))]
     served: list[float] = []
-    failed, free, waiting, order = 0, 0.0, 0, iter(range(10**9))
+    failed, idle_at, waiting, sequence = 0, 0.0, 0, iter(range(10**9))
     events: list[tuple[float, int, str, int]] = [
-        (at, next(order), "call", number) for number, at in enumerate(starts)
+        (at, next(sequence), "call", number) for number, at in enumerate(starts)
     ]
     heapq.heapify(events)
     while events:
-        now, _, what, number = heapq.heappop(events)
+        now, _, kind, number = heapq.heappop(events)
         if now > until:
             break
-        if what == "done":
+        if kind == "done":
             waiting -= 1
-        elif what == "call" and waiting < BOUND:
+        elif kind == "call" and waiting < QUEUE_LENGTH_MAX:
             waiting += 1
-            free = max(free, now) + WORK
-            heapq.heappush(events, (free, next(order), "done", number))
-            late = free - now > PATIENCE
+            idle_at = max(idle_at, now) + CALL_WORK_MS
+            heapq.heappush(events, (idle_at, next(sequence), "done", number))
+            timed_out = idle_at - now > CALL_TIMEOUT_MS
             heapq.heappush(
-                events, (now + PATIENCE if late else free, next(order), "fail" if late else "list", number)
+                events,
+                (
+                    now + CALL_TIMEOUT_MS if timed_out else idle_at,
+                    next(sequence),
+                    "fail" if timed_out else "list",
+                    number,
+                ),
             )
-        elif what == "list":
+        elif kind == "list":
             served.append(now)
             balancers[number].handle(now, ServerListChanged(ServerListKind.WHOLE, (make_server("a"),)))
         else:
@@ -61,7 +70,7 @@
             for action in balancers[number].handle(now, ServerListFailed()):
                 if isinstance(action, SetTimer):
                     fires = now + action.delay
-                    heapq.heappush(events, (fires, next(order), "call", number))
+                    heapq.heappush(events, (fires, next(sequence), "call", number))
                     assert any(
                         isinstance(each, WatchServerList)
                         for each in balancers[number].handle(fires, TimerFired(action.token))
@@ -69,19 +78,20 @@
     return served, failed
 
 
-def fleets() -> Iterator[list[float]]:
+def start_times_of_fleets() -> Iterator[list[float]]:
+    """The times at which the balancers of each fleet start to call, within one second."""
     rng = Random(7)
     for count in (3, 10, 28, 40, 80):
         yield [rng.uniform(0.0, 1000.0) for _ in range(count)]
 
 
-def test_a_herd_of_calls_thins_out_until_all_are_served() -> None:
-    """Danger: calls repeated every two seconds keep the queue full of calls given up: nobody is served."""
-    for starts in fleets():
-        served, failed = subscribe(starts, 60_000.0)
+def test_calls_of_many_balancers_are_spread_out_until_all_are_served() -> None:
+    """Calls repeated every 2 s would keep the queue full of calls that were given up, and none be served."""
+    for starts in start_times_of_fleets():
+        served, failed = simulate_discovery_queue(starts, 60_000.0)
         assert len(served) == len(starts)
-        work = WORK * len(starts)
-        assert max(served) < 1000.0 + PATIENCE + 4 * work
+        work = CALL_WORK_MS * len(starts)
+        assert max(served) < 1000.0 + CALL_TIMEOUT_MS + 4 * work
         assert failed < 4 * len(starts)
 
 
@@ -95,101 +105,110 @@
         assert 250.0 <= timer.delay <= 1500.0
 
 
-def test_answers_that_are_refused_leave_the_wait_growing() -> None:
-    """Danger: who leaves is heard from a refused answer too; were it good news, the wait began anew. And what
-    was refused counts as told 6 s later, so it may not grow as it does in a queue."""
-    world = BalancerDriver()
-    world.update_server_list(make_server("a"), make_server("b"))
+def test_the_wait_grows_while_answers_are_rejected() -> None:
+    """A rejected answer still names leaving servers; if it counted as a success, the wait would start anew.
+
+    Its content counts as known 6 s later, so the wait must not grow as long as after queued calls.
+    """
+    driver = BalancerDriver()
+    driver.update_server_list(make_server("a"), make_server("b"))
     waits: list[float] = []
     for _ in range(8):
-        world.update_server_list(make_server("b", state=ServerState.DRAINING), kind=ServerListKind.LEAVING)
-        world.feed(ServerListFailed())
-        waits.append(world.timers[-1][0] - world.now)
-        world.advance(waits[-1])
+        driver.update_server_list(make_server("b", state=ServerState.DRAINING), kind=ServerListKind.LEAVING)
+        driver.feed(ServerListFailed())
+        waits.append(driver.timers[-1][0] - driver.now)
+        driver.advance(waits[-1])
     assert max(waits[2:]) > 3000.0
-    assert max(waits) <= TOLD - PATIENCE
-    assert world.open_connection() == "a", "rule 3, and who is not named stays"
+    assert max(waits) <= KNOWN_AFTER_MS - CALL_TIMEOUT_MS
+    assert driver.open_connection() == "a", "rule 3 holds for b, and a server that is not named stays"
+
 
+def listed_after_return(outage: float, held: float, seed: int) -> float:
+    """How long after discovery's return a balancer has the list.
 
-def heard_after(outage: float, held: float, seed: int) -> float:
-    """How long after discovery's return a balancer has its list, where a call ends `held` later while it is
-    out and is answered `PATIENCE` later, a full queue's time, from then on."""
+    During the outage each call fails after `held`; afterwards each is answered after `CALL_TIMEOUT_MS`,
+    which is the time that a full queue takes.
+    """
     balancer = Balancer(make_settings(), seed)
     balancer.start(0.0)
     balancer.handle(0.0, ServerListChanged(ServerListKind.WHOLE, (make_server("a"),)))
-    now = Random(seed).uniform(0.0, PATIENCE)  # its watch ends as discovery goes
+    now = Random(seed).uniform(0.0, CALL_TIMEOUT_MS)  # the watch breaks off when the outage begins
     while now < outage:
         now += held
         (timer,) = [each for each in balancer.handle(now, ServerListFailed()) if isinstance(each, SetTimer)]
         now += timer.delay
         balancer.handle(now, TimerFired(timer.token))
-    return now + PATIENCE - outage
+    return now + CALL_TIMEOUT_MS - outage
 
 
-@pytest.mark.parametrize(("held", "longest"), [(0.0, 30_000.0), (50.0, 30_000.0), (PATIENCE, 10_000.0)])
-def test_what_discovery_knows_at_its_return_is_heard_before_it_counts_as_told(
-    held: float, longest: float
-) -> None:
-    """Danger: the wait doubled through the outage, and 6 s after the return everything counts as told. A call
-    that was held across the return adds its own time. Where calls are held until a queue turns them away the
-    wait must go on growing, past 10 s of them, see above."""
+@pytest.mark.parametrize(
+    ("held", "longest"), [(0.0, 30_000.0), (50.0, 30_000.0), (CALL_TIMEOUT_MS, 10_000.0)]
+)
+def test_the_list_at_discoverys_return_arrives_before_it_counts_as_known(held: float, longest: float) -> None:
+    """The wait must not grow through an outage: 6 s after discovery's return its list counts as known.
+
+    A call that is held across the return adds its own time. Where calls are held until they time out in a
+    queue, the wait must grow on after 10 s, as the first test shows.
+    """
     for outage in (3000.0, 5000.0, 8000.0, 10_000.0, 30_000.0):
         if outage <= longest:
-            assert max(heard_after(outage, held, seed) for seed in range(40)) <= TOLD + held
+            assert max(listed_after_return(outage, held, seed) for seed in range(40)) <= KNOWN_AFTER_MS + held
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told(
-    tmp_path: Path,
-) -> None:
-    """Found on calm+brink: a watch waited 10 s and 2.2 s more, the next call came up to 3 s after that."""
+def test_a_silent_watch_is_reopened_before_what_it_misses_counts_as_known(tmp_path: Path) -> None:
+    """A silent watch used to be given up after 12.2 s, and the next call came up to 3 s later."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         servers = [FakeServer("a"), FakeServer("b")]
         async with running_balancer(tmp_path, *servers) as (program, discovery):
             async with asyncio.timeout(10):
-                while len(discovery.queries) < 2:  # the watch is heard
+                while len(discovery.queries) < 2:  # the watch has been opened
                     await asyncio.sleep(0.01)
                 discovery.unanswered_calls = 1
                 while discovery.unanswered_calls:
                     await asyncio.sleep(0.01)
-            async with asyncio.timeout((TOLD - PATIENCE) / 1000):  # a full queue's time to spare
+            # The difference leaves the time that a full queue takes.
+            async with asyncio.timeout((KNOWN_AFTER_MS - CALL_TIMEOUT_MS) / 1000):
                 await discovery.change("b", "Terminating")
                 await program.wait_for_log("server b draining")
             assert any("discovery: silent, called anew" in line for line in program.log)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def queued(world: BalancerDriver, times: int) -> list[float]:
-    """The waits after so many calls that were held for a queue's time each."""
+def waits_after_queued_calls(driver: BalancerDriver, times: int) -> list[float]:
+    """The waits after so many calls that timed out in the queue."""
     waits: list[float] = []
     for _ in range(times):
-        world.now += PATIENCE
-        world.feed(ServerListFailed())
-        waits.append(world.timers[-1][0] - world.now)
-        world.advance(waits[-1])
+        driver.now += CALL_TIMEOUT_MS
+        driver.feed(ServerListFailed())
+        waits.append(driver.timers[-1][0] - driver.now)
+        driver.advance(waits[-1])
     return waits
 
 
-def test_failures_of_one_discovery_do_not_put_off_calls_to_the_next() -> None:
-    """Found on herd+brink: after SIGHUP the first call was refused, and the next one came over 15 s later."""
-    world = BalancerDriver(make_settings(fleet_size=100))
-    assert max(queued(world, 7)) > 10_000.0, "one queue for many"
-    world.feed(DiscoveryChanged())
-    world.now += 20.0
-    world.feed(ServerListFailed())
-    assert world.timers[-1][0] - world.now <= 1500.0
+def test_failures_of_one_discovery_do_not_delay_calls_to_the_next() -> None:
+    """After a reload with another discovery the first call failed, and the next came over 15 s later."""
+    driver = BalancerDriver(make_settings(fleet_size=100))
+    assert max(waits_after_queued_calls(driver, 7)) > 10_000.0, "many balancers share one queue"
+    driver.feed(DiscoveryChanged())
+    driver.now += 20.0
+    driver.feed(ServerListFailed())
+    assert driver.timers[-1][0] - driver.now <= 1500.0
 
 
-def test_a_few_balancers_can_not_fill_a_queue_and_need_not_wait_as_if() -> None:
-    """Danger: with six of them a wait doubled to 16 s, and six calls are worked through in a second."""
-    assert max(queued(BalancerDriver(make_settings(fleet_size=6)), 9)) <= TOLD - PATIENCE
+def test_few_balancers_wait_no_longer_than_their_calls_can_fill_a_queue() -> None:
+    """With six balancers a wait used to double up to 16 s, though six calls take discovery about a second."""
+    assert (
+        max(waits_after_queued_calls(BalancerDriver(make_settings(fleet_size=6)), 9))
+        <= KNOWN_AFTER_MS - CALL_TIMEOUT_MS
+    )
 
 
-def test_the_first_call_is_the_watch_from_the_version_known(tmp_path: Path) -> None:
-    """Danger: a whole list, then a watch, from every balancer that was killed: twice the calls."""
+def test_the_first_call_is_a_watch_from_the_known_version(tmp_path: Path) -> None:
+    """A whole list and then a watch from every restarted balancer would be twice the calls."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         servers = [FakeServer("a"), FakeServer("b")]
         async with running_balancer(tmp_path, *servers) as (program, discovery):
             await program.connect()
@@ -198,4 +217,4 @@
             assert discovery.queries[0].startswith("index=1&wait=")
             assert not any(query == "" for query in discovery.queries)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -1,4 +1,4 @@
-"""What one process of a balancer learns is what the next one goes on with."""
+"""What one process of a balancer has learned from its traffic is taken over by its successor."""
 
 from __future__ import annotations
 
@@ -16,120 +16,122 @@
 from tests.balancer_driver import BalancerDriver, make_server
 
 
-def next_process(world: BalancerDriver, learns: bool = True) -> BalancerDriver:
-    """A new process at this moment: it adopts what stands, and learns what the old one knew."""
-    new = BalancerDriver(world.settings, seed=99, now=world.now)
-    old = world.balancer
-    new.update_server_list(*(node.server for node in old._records.values()), kind=ServerListKind.REMEMBERED)
-    for name, conn in old._connections.items():
-        if conn.record is not None:
-            request = Request(name, 0, 0.0, 0, float(conn.load), None, conn.group)
-            new.feed(ConnectionAdopted(request, conn.record.id))
-    if learns:
-        new.feed(old.learned_state())
-    return new
-
-
-def test_sums_are_the_same_on_both_sides() -> None:
-    world = BalancerDriver()
-    world.update_server_list(make_server("a"), make_server("b"), make_server("c"))
+def successor_of(driver: BalancerDriver, restores: bool = True) -> BalancerDriver:
+    """A new process that adopts all connections and, if it `restores`, takes over the learned state."""
+    successor = BalancerDriver(driver.settings, seed=99, now=driver.now)
+    predecessor = driver.balancer
+    successor.update_server_list(
+        *(record.server for record in predecessor._records.values()), kind=ServerListKind.REMEMBERED
+    )
+    for name, connection in predecessor._connections.items():
+        if connection.record is not None:
+            request = Request(name, 0, 0.0, 0, float(connection.load), None, connection.group)
+            successor.feed(ConnectionAdopted(request, connection.record.id))
+    if restores:
+        successor.feed(predecessor.learned_state())
+    return successor
+
+
+def test_the_successor_has_the_same_sums() -> None:
+    driver = BalancerDriver()
+    driver.update_server_list(make_server("a"), make_server("b"), make_server("c"))
     for hint in range(100, 2000, 130):
-        world.open_connection(float(hint))
-    assert next_process(world).balancer.sums() == world.balancer.sums()
+        driver.open_connection(float(hint))
+    assert successor_of(driver).balancer.sums() == driver.balancer.sums()
 
 
-def test_the_cold_budget_is_one_for_both() -> None:
-    """Rule 4. Danger: each process by itself keeps within the budget, and together they push it over."""
+def test_the_successor_continues_the_cold_budget() -> None:
+    """Rule 4: with a budget of its own for each process, both together would overload a cold server."""
 
-    def sent(learns: bool) -> int:
-        world = BalancerDriver(now=100_000.0)
-        world.update_server_list(make_server("a"), make_server("cold", started_at=world.now - 100.0))
+    def sent(restores: bool) -> int:
+        driver = BalancerDriver(now=100_000.0)
+        driver.update_server_list(make_server("a"), make_server("cold", started_at=driver.now - 100.0))
         for _ in range(30):
-            world.open_connection()
-        for node in world.balancer._records.values():
-            for name in list(node.connections):
-                if node.id == "cold":  # they end at once; what was sent still counts
-                    world.end_attempt(name, Result.OK)
-        assert world.balancer._records["cold"].cold_sends
-        new = next_process(world, learns)
-        return sum(new.open_connection() == "cold" for _ in range(10))
-
-    assert sent(learns=False) > 0
-    assert sent(learns=True) < sent(learns=False)
-
-
-def test_a_limit_and_a_server_set_aside_are_known_from_the_start() -> None:
-    world = BalancerDriver()
-    world.update_server_list(make_server("a"), make_server("b"), make_server("c"))
-    first = [world.send_request() for _ in range(6)]
-    for each in first:
-        world.establish(each)
-    strained = next(each for each in first if world.server_of(each) == "a")
-    world.report_delay(strained, "a", 59.0)
-    sick = next(each for each in first if world.server_of(each) == "b")
-    world.end_attempt(sick, Result.TIMEOUT, closed=True)
-    assert {next_process(world).open_connection() for _ in range(4)} == {"c"}
-    blank = next_process(world, learns=False)
-    assert {blank.open_connection() for _ in range(9)} == {"a", "b", "c"}
-
-
-def test_what_is_known_of_servers_that_are_not_listed_is_passed_over() -> None:
-    world = BalancerDriver()
-    world.update_server_list(make_server("a"))
-    world.open_connection()
-    learnt = world.balancer.learned_state()
+            driver.open_connection()
+        for record in driver.balancer._records.values():
+            for name in list(record.connections):
+                if record.id == "cold":  # what was sent counts though it has ended
+                    driver.end_attempt(name, Result.OK)
+        assert driver.balancer._records["cold"].cold_sends
+        successor = successor_of(driver, restores)
+        return sum(successor.open_connection() == "cold" for _ in range(10))
+
+    assert sent(restores=False) > 0
+    assert sent(restores=True) < sent(restores=False)
+
+
+def test_the_successor_knows_limits_and_ejections_from_the_start() -> None:
+    driver = BalancerDriver()
+    driver.update_server_list(make_server("a"), make_server("b"), make_server("c"))
+    requests = [driver.send_request() for _ in range(6)]
+    for each in requests:
+        driver.establish(each)
+    overloaded = next(each for each in requests if driver.server_of(each) == "a")
+    driver.report_delay(overloaded, "a", 59.0)
+    unhealthy = next(each for each in requests if driver.server_of(each) == "b")
+    driver.end_attempt(unhealthy, Result.TIMEOUT, closed=True)
+    assert {successor_of(driver).open_connection() for _ in range(4)} == {"c"}
+    unrestored = successor_of(driver, restores=False)
+    assert {unrestored.open_connection() for _ in range(9)} == {"a", "b", "c"}
+
+
+def test_learned_state_of_unlisted_servers_is_ignored() -> None:
+    driver = BalancerDriver()
+    driver.update_server_list(make_server("a"))
+    driver.open_connection()
+    learned = driver.balancer.learned_state()
     other = BalancerDriver()
     other.update_server_list(make_server("b"))
-    other.feed(LearnedState(*learnt[:4], learnt.servers))
+    other.feed(LearnedState(*learned[:4], learned.servers))
     assert other.balancer.sums() == {"b": 0}
     assert other.open_connection() == "b"
 
 
-def drained_and_back(restored: bool = True) -> BalancerDriver:
-    """Ten connections at each of two servers, all given away while both tell of strain, and work again."""
-    world = BalancerDriver()
-    world.update_server_list(make_server("a"), make_server("b"))
-    held = [world.send_request() for _ in range(20)]
-    for each in held:
-        world.establish(each)
-    world.feed(DrainStarted())
-    for each in held:
-        world.report_delay(each, world.server_of(each), 30.0)
-        world.end_attempt(each, Result.CANCELLED, closed=True)
-    if restored:
-        world.feed(DrainEnded())
-    return world
-
-
-def test_what_a_drain_left_is_no_limit() -> None:
-    """Danger: a balancer that was drained refused half of those that the next one moved off in its drain."""
-    world = drained_and_back()
+def driver_after_drain(ended: bool = True) -> BalancerDriver:
+    """Ten connections at each of two servers, all moved away in a drain while both report overload."""
+    driver = BalancerDriver()
+    driver.update_server_list(make_server("a"), make_server("b"))
+    requests = [driver.send_request() for _ in range(20)]
+    for each in requests:
+        driver.establish(each)
+    driver.feed(DrainStarted())
+    for each in requests:
+        driver.report_delay(each, driver.server_of(each), 30.0)
+        driver.end_attempt(each, Result.CANCELLED, closed=True)
+    if ended:
+        driver.feed(DrainEnded())
+    return driver
+
+
+def test_sums_that_fell_in_a_drain_are_no_limits() -> None:
+    """After its own drain a balancer used to refuse half of the clients that the next one moved away."""
+    driver = driver_after_drain()
     for _ in range(20):
-        world.send_request()
-        assert world.last_of(Attempt) and not world.last_of(Refuse)
-    blocked = drained_and_back(restored=False)
-    asked = [blocked.send_request() for _ in range(60)]
-    assert sum(name not in blocked.attempts for name in asked) > 0
-
-
-def test_strain_told_after_a_drain_leaves_the_part_that_was_held_before() -> None:
-    world = drained_and_back()
-    one = world.send_request()
-    world.establish(one)
-    world.report_delay(one, world.server_of(one), 30.0)
-    placed = [world.send_request() for _ in range(24)]
-    assert all(name in world.attempts for name in placed)
-
-
-def test_aims_missed_after_a_drain_cut_that_part_too() -> None:
-    world = drained_and_back()
-    one = world.send_request()
-    world.establish(one)
-    where = world.server_of(one)
+        driver.send_request()
+        assert driver.last_of(Attempt) and not driver.last_of(Refuse)
+    still_limited = driver_after_drain(ended=False)
+    requests = [still_limited.send_request() for _ in range(60)]
+    assert sum(name not in still_limited.attempts for name in requests) > 0
+
+
+def test_overload_after_a_drain_leaves_the_share_from_before_the_drain() -> None:
+    driver = driver_after_drain()
+    request = driver.send_request()
+    driver.establish(request)
+    driver.report_delay(request, driver.server_of(request), 30.0)
+    placed = [driver.send_request() for _ in range(24)]
+    assert all(name in driver.attempts for name in placed)
+
+
+def test_missed_message_aims_after_a_drain_reduce_that_share_too() -> None:
+    driver = driver_after_drain()
+    request = driver.send_request()
+    driver.establish(request)
+    server_id = driver.server_of(request)
     limits = []
     for _ in range(12):
-        world.report_delay(one, where, 200.0)
-        limits.append(world.balancer._records[where].limit)
-        world.advance(1000.0)
+        driver.report_delay(request, server_id, 200.0)
+        limits.append(driver.balancer._records[server_id].limit)
+        driver.advance(1000.0)
     assert limits == sorted(limits, reverse=True)
     assert limits[-1] < 0.2 * limits[0]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal events: rules 1 to 3 hold, and the sums are what stands."""
+"""Arbitrary legal events: rules 1 to 3 hold, and each sum is the load of what its server holds."""
 
 from __future__ import annotations
 
@@ -44,80 +44,89 @@
 )
 
 
-class Judge:
-    """Plays legal events at random and holds each action against the rules."""
+class RuleChecker:
+    """Sends legal events at random, and checks each action against the rules."""
 
     def __init__(self, rng: random.Random, grouped: bool, config: Settings) -> None:
         self.rng, self.grouped = rng, grouped
-        self.world = BalancerDriver(config, rng.randrange(1 << 30), rng.choice([0.0, 1e9]))
+        self.driver = BalancerDriver(config, rng.randrange(1 << 30), rng.choice([0.0, 1e9]))
         self.servers: dict[str, Server] = {}
-        self.open: dict[str, Request] = {}  # owed a final answer
+        self.unanswered: dict[str, Request] = {}  # requests without a final answer yet
         self.deadline: dict[str, float] = {}
-        self.out: dict[str, tuple[int, str, float]] = {}  # attempt, server, sent at
-        self.up: set[str] = set()
-        self.doubt: dict[str, tuple[Server, float]] = {}  # first attempt that may have run
-        self.count = 0
+        self.under_way: dict[str, tuple[int, str, float]] = {}  # attempt, server, when sent
+        self.established: set[str] = set()
+        self.may_have_run: dict[str, tuple[Server, float]] = {}  # server and time of the first such attempt
+        self.request_count = 0
 
     def feed(self, event: Event, ended: str | None = None) -> None:
+        """Pass an event on, which ends the request `ended`, and check the actions."""
         if ended is not None:
-            self.open.pop(ended, None)
-        for action in self.world.feed(event):
+            self.unanswered.pop(ended, None)
+        for action in self.driver.feed(event):
             if isinstance(action, Attempt):
                 self.check_attempt(action)
             elif isinstance(action, Refuse | Fail):
                 self.check_answer(action)
             elif isinstance(action, Move):
-                assert action.request in self.up
+                assert action.request in self.established
 
     def check_attempt(self, action: Attempt) -> None:
-        name, now = action.request, self.world.now
-        assert name in self.open, "an attempt after the end"
-        assert name not in self.out, "two attempts at once"
+        name, now = action.request, self.driver.now
+        assert name in self.unanswered, "an attempt after the final answer"
+        assert name not in self.under_way, "two attempts at once"
         target = self.servers[action.server]
-        assert target.state is ServerState.READY, "sent to a server told to drain"
+        assert target.state is ServerState.READY, "sent to a server that is draining or gone"
         assert now < self.deadline[name]
         assert 0 < action.timeout <= self.deadline[name] - now + 1e-6
-        number = self.world.attempts[name]
-        assert number < self.world.settings.max_attempts
-        kind = CLASSES[self.open[name].class_index]
-        if name in self.doubt and kind.repeat is not Repeat.SAFE:
-            first, at = self.doubt[name]
-            assert kind.repeat is Repeat.KEYED
-            assert now - at <= kind.window
-            assert kind.scope is not KeyScope.ZONE or target.zone == first.zone
-            assert kind.scope is not KeyScope.CELL or target.cell == first.cell
-        self.out[name] = (number, action.server, now)
+        number = self.driver.attempts[name]
+        assert number < self.driver.settings.max_attempts
+        request_class = CLASSES[self.unanswered[name].class_index]
+        if name in self.may_have_run and request_class.repeat is not Repeat.SAFE:
+            first, at = self.may_have_run[name]
+            assert request_class.repeat is Repeat.KEYED
+            assert now - at <= request_class.window
+            assert request_class.scope is not KeyScope.ZONE or target.zone == first.zone
+            assert request_class.scope is not KeyScope.CELL or target.cell == first.cell
+        self.under_way[name] = (number, action.server, now)
 
     def check_answer(self, action: Refuse | Fail) -> None:
-        request = self.open.pop(action.request)  # KeyError: a second final answer
-        assert action.request not in self.out
-        if isinstance(action, Refuse) and action.request in self.doubt:
-            kind = CLASSES[request.class_index]
-            assert kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.scope is KeyScope.ALL)
+        request = self.unanswered.pop(action.request)  # a KeyError means a second final answer
+        assert action.request not in self.under_way
+        if isinstance(action, Refuse) and action.request in self.may_have_run:
+            request_class = CLASSES[request.class_index]
+            assert request_class.repeat is Repeat.SAFE or (
+                request_class.repeat is Repeat.KEYED and request_class.scope is KeyScope.ALL
+            )
 
     def check_state(self) -> None:
-        sums = self.world.balancer.sums()
+        """Compare the sums with the loads under way, and look for requests that were forgotten."""
+        sums = self.driver.balancer.sums()
         assert all(total >= 0 for total in sums.values())
         if not self.grouped:
-            stands: Counter[str] = Counter()
-            for name, (_, where, _at) in self.out.items():
-                stands[where] += self.loads[name]
-            assert {k: v for k, v in sums.items() if v} == {k: v for k, v in stands.items() if v}
-        for name in self.open:
-            assert name in self.out, "a request is held with nothing under way"
+            loads_by_server: Counter[str] = Counter()
+            for name, (_, server_id, _at) in self.under_way.items():
+                loads_by_server[server_id] += self.loads[name]
+            assert {k: v for k, v in sums.items() if v} == {k: v for k, v in loads_by_server.items() if v}
+        for name in self.unanswered:
+            assert name in self.under_way, "a request has neither an answer nor an attempt"
 
-    loads: dict[str, int]
+    loads: dict[str, int]  # of each request, by its name; set by the test
 
     def step(self) -> None:
+        """Let some time pass and send one random event, after the time-outs that are due."""
         rng, draw = self.rng, self.rng.random()
-        self.world.now += rng.choice([0.0, 1.0, 20.0, 150.0])
-        overdue = [n for n in self.out if n not in self.up and self.world.now >= self.deadline.get(n, 1e99)]
+        self.driver.now += rng.choice([0.0, 1.0, 20.0, 150.0])
+        overdue = [
+            n
+            for n in self.under_way
+            if n not in self.established and self.driver.now >= self.deadline.get(n, 1e99)
+        ]
         for name in overdue:
-            self.finish(name, Result.TIMEOUT)
+            self.end_attempt(name, Result.TIMEOUT)
         if draw < 0.35:
-            self.count += 1
+            self.request_count += 1
             hint = rng.choice([None, 1.0, 500.0, 1e6])
-            name = f"r{self.count}"
+            name = f"r{self.request_count}"
             request = Request(
                 name,
                 rng.randrange(len(CLASSES)),
@@ -127,67 +136,67 @@
                 None,
                 rng.choice([None, "g", "h"]) if self.grouped else None,
             )
-            self.open[name], self.deadline[name] = request, self.world.now + request.budget
+            self.unanswered[name], self.deadline[name] = request, self.driver.now + request.budget
             if hint is None:
                 self.loads[name] = -1
             else:
                 self.loads[name] = round(hint)
-            before = dict(self.world.balancer.sums())
+            before = dict(self.driver.balancer.sums())
             self.feed(RequestArrived(request))
-            if self.loads[name] < 0 and name in self.out:
-                where = self.out[name][1]
-                self.loads[name] = self.world.balancer.sums()[where] - before.get(where, 0)
-        elif draw < 0.55 and self.out:
-            name = rng.choice(sorted(self.out))
-            if name not in self.up:
-                number, where, at = self.out[name]
-                self.up.add(name)
-                self.open.pop(name, None)  # the stream is its own answer from here
-                self.feed(ConnectionUp(name, number, where, self.world.now - at))
-        elif draw < 0.75 and self.out:
-            self.finish(rng.choice(sorted(self.out)), rng.choice(list(Result)))
-        elif draw < 0.8 and self.out:
-            name = rng.choice(sorted(self.out))
-            number, where, _ = self.out[name]
+            if self.loads[name] < 0 and name in self.under_way:
+                server_id = self.under_way[name][1]
+                self.loads[name] = self.driver.balancer.sums()[server_id] - before.get(server_id, 0)
+        elif draw < 0.55 and self.under_way:
+            name = rng.choice(sorted(self.under_way))
+            if name not in self.established:
+                number, server_id, at = self.under_way[name]
+                self.established.add(name)
+                self.unanswered.pop(name, None)  # an established connection is the answer
+                self.feed(ConnectionUp(name, number, server_id, self.driver.now - at))
+        elif draw < 0.75 and self.under_way:
+            self.end_attempt(rng.choice(sorted(self.under_way)), rng.choice(list(Result)))
+        elif draw < 0.8 and self.under_way:
+            name = rng.choice(sorted(self.under_way))
+            number, server_id, _ = self.under_way[name]
             if rng.random() < 0.5:
                 self.loads[name] = rng.randrange(10**6)
-                self.feed(LoadReported(name, number, where, float(self.loads[name])))
+                self.feed(LoadReported(name, number, server_id, float(self.loads[name])))
             else:
-                self.feed(DelayReported(name, number, where, rng.choice([1.0, 25.0, 900.0])))
-        elif draw < 0.85 and self.open:
-            name = rng.choice(sorted(self.open))
+                self.feed(DelayReported(name, number, server_id, rng.choice([1.0, 25.0, 900.0])))
+        elif draw < 0.85 and self.unanswered:
+            name = rng.choice(sorted(self.unanswered))
             self.feed(ClientLeft(name), ended=name)
         elif draw < 0.95:
-            self.change_roster()
+            self.change_server_list()
         elif draw < 0.97:
             self.feed(ServerListFailed())
-        else:  # news of things that are not held
-            strangers: list[Event] = [
+        else:  # events of requests that the balancer does not hold
+            unknown_events: list[Event] = [
                 TimerFired(987654),
                 ClientLeft("nobody"),
                 ConnectionUp("nobody", 0, "s0", 1.0),
                 AttemptEnded("nobody", 0, "s0", False, 1.0, Result.ERROR),
                 LoadReported("nobody", 0, "s0", 5.0),
             ]
-            self.feed(rng.choice(strangers))
+            self.feed(rng.choice(unknown_events))
         self.check_state()
 
-    def finish(self, name: str, result: Result) -> None:
-        number, where, at = self.out.pop(name)
-        if name in self.up or result is Result.OK:
+    def end_attempt(self, name: str, result: Result) -> None:
+        number, server_id, at = self.under_way.pop(name)
+        if name in self.established or result is Result.OK:
             closed = True
         else:
-            closed = name not in self.open
+            closed = name not in self.unanswered
             if result not in NEVER_RAN:
-                self.doubt.setdefault(name, (self.servers[where], at))
-        self.up.discard(name)
-        event = AttemptEnded(name, number, where, closed, self.world.now - at, result)
+                self.may_have_run.setdefault(name, (self.servers[server_id], at))
+        self.established.discard(name)
+        event = AttemptEnded(name, number, server_id, closed, self.driver.now - at, result)
         if closed:
             self.feed(event, ended=name)
         else:
             self.feed(event)
 
-    def change_roster(self) -> None:
+    def change_server_list(self) -> None:
         rng = self.rng
         names = rng.sample([f"s{n}" for n in range(7)], rng.randrange(0, 6))
         whole = rng.random() < 0.4
@@ -205,9 +214,9 @@
             )
             if whole and state is ServerState.GONE:
                 state = ServerState.READY
-            born = self.world.now if rng.random() < 0.2 else (known.started_at if known else 0.0)
+            started_at = self.driver.now if rng.random() < 0.2 else (known.started_at if known else 0.0)
             number = int(name[1:])
-            entries.append(Server(name, number % 2, 0, number % 3, state, 1.0, born))
+            entries.append(Server(name, number % 2, 0, number % 3, state, 1.0, started_at))
         if whole:
             for name, known in self.servers.items():
                 self.servers[name] = known._replace(state=ServerState.GONE)
@@ -222,13 +231,13 @@
 @given(st.integers(0, 2**32), st.booleans(), st.integers(1, 6))
 def test_rules_hold_on_arbitrary_legal_events(seed: int, grouped: bool, attempts: int) -> None:
     config = make_settings(CLASSES, groups_share_work=grouped, max_attempts=attempts)
-    judge = Judge(random.Random(seed), grouped, config)
-    judge.loads = {}
+    checker = RuleChecker(random.Random(seed), grouped, config)
+    checker.loads = {}
     for _ in range(150):
-        judge.step()
-    for name in sorted(judge.out):  # everything ends; nothing may be left owed
-        if name in judge.out:
-            judge.world.now = max(judge.world.now, judge.deadline[name])
-            judge.finish(name, Result.TIMEOUT)
-    assert not judge.open
-    assert not any(judge.world.balancer.sums().values())
+        checker.step()
+    for name in sorted(checker.under_way):  # all attempts end, and no request may be left unanswered
+        if name in checker.under_way:
+            checker.driver.now = max(checker.driver.now, checker.deadline[name])
+            checker.end_attempt(name, Result.TIMEOUT)
+    assert not checker.unanswered
+    assert not any(checker.driver.balancer.sums().values())
