--- a/switchhub/decision/placement.py
+++ b/switchhub/decision/placement.py
@@ -66,7 +66,7 @@
 EJECTION_FAILURES = 2  # failures from which on a server is ejected
 TIMEOUT_DEVIATIONS = 4.0  # mean deviations above the mean set-up time that an attempt may take
 SETUP_TIME_GAIN = 1 / 16  # weight of the newest set-up in the moving averages of set-up times
-SUM_NOISE_FACTOR = 2.0  # noise of a sum, as a multiple of the root of its squared loads' sum
+SUM_NOISE_FACTOR = 2.0  # noise of a sum, in multiples of the square root of its summed squared loads
 GROUP_COST_HINTS = 16.0  # load that a group adds to a server without any of its connections, in mean hints
 GROUP_START_SLACK_HINTS = 4.0  # how far the common start of a group may exceed the least sum, in mean hints
 HASH_MASK = 2**64 - 1  # hashes have 64 bits
@@ -75,7 +75,7 @@
 OVERLOAD_DELAY_FRACTION = 1 / 3  # of the shortest message aim: a delay from which on a server is overloaded
 LIMIT_HOLD_MS = 1500.0  # how long a limit stays constant after the last overload signal
 LIMIT_GROWTH_PER_S = 0.02  # fraction of itself by which a limit then grows
-LIMIT_REFILL_PER_S = 0.1  # fraction of the mean sum by which a nearly empty server's limit grows
+LIMIT_REFILL_PER_S = 0.1  # fraction of the mean sum by which the limit of a nearly empty server grows
 LIMIT_CUT_FRACTION = 0.2  # of the limit, taken off by a delay that misses the message aim
 STALL_DELAY_MS = 1000.0  # a delay from which on a server counts as stalled: its limit becomes 0
 RETRY_TIMER_TOKEN = 1  # the only timer: call discovery again
@@ -442,10 +442,10 @@
         """The servers to which the rules permit an attempt now."""
         if connection.attempts >= self._settings.max_attempts or self._now >= connection.deadline:
             return []
-        records = self._ready_records  # rule 3
-        if (
-            connection.may_have_run is not None and connection.request_class.repeat is not Repeat.SAFE
-        ):  # rule 2
+        # Rule 3.
+        records = self._ready_records
+        # Rule 2.
+        if connection.may_have_run is not None and connection.request_class.repeat is not Repeat.SAFE:
             first_server, _ = connection.may_have_run
             if connection.request_class.repeat is Repeat.UNSAFE or self._repeat_window_left(connection) <= 0:
                 return []
@@ -453,7 +453,8 @@
                 records = [record for record in records if record.server.zone == first_server.zone]
             elif connection.request_class.scope is KeyScope.CELL:
                 records = [record for record in records if record.server.cell == first_server.cell]
-        if self._cold_records:  # rule 4
+        # Rule 4.
+        if self._cold_records:
             self._cold_records = [
                 record for record in self._cold_records if self._cold_age(record) is not None
             ]
@@ -687,7 +688,7 @@
     def _is_tenant_over_share(self, connection: _Connection) -> bool:
         """Whether the tenant's part of the connections here exceeds its part of the sum of all quotas.
 
-        This holds however large a part of the fleet's connections this balancer has.
+        The comparison does not depend on how many of the fleet's connections this balancer has.
         """
         if not self._total_quota:
             return False
@@ -780,10 +781,10 @@
         )
 
     def _count_failure(self, record: _ServerRecord, result: Result) -> None:
-        """Count a failed set-up; from `EJECTION_FAILURES` on, eject the server with exponential backoff.
+        """Count a failed attempt or connection; from `EJECTION_FAILURES` on, eject the server.
 
-        A set-up that breaks off counts as one failure, since networks break set-ups at healthy servers too;
-        any other counts as enough to eject the server at once.
+        The ejection has exponential backoff with jitter. A set-up that breaks off counts as one failure,
+        since networks break set-ups at healthy servers too; any other failure ejects the server at once.
         """
         weight = 1 if result in (Result.UNREACHABLE, Result.RESET) else EJECTION_FAILURES
         if record.failures < EJECTION_FAILURES <= record.failures + weight:
