--- a/switchhub/__main__.py
+++ b/switchhub/__main__.py
@@ -32,9 +32,9 @@
 
 
 async def find_handover_receiver(config: Config) -> HandoverReceiver | None:
-    """Returns the receiver for a handover from a running process of this balancer.
+    """Return the receiver for a handover from a running process of this balancer.
 
-    Returns None if there is no such process, or if no management address is configured.
+    Return None if there is no such process, or if no management address is configured.
     """
     if config.management is None:
         return None
@@ -46,7 +46,7 @@
 
 
 def create_peer_node(config: Config) -> PeerNode | None:
-    """Returns this balancer's node in the membership, or None if no operator file configures one.
+    """Return this balancer's node in the membership, or None if no operator file configures one.
 
     Without an operator file none of the membership modules is imported. Raises `ConfigError` if a package
     that they need is not installed.
@@ -69,7 +69,7 @@
 
 
 async def serve(config: Config, node: PeerNode | None) -> None:
-    """Runs one balancer until a signal stops it."""
+    """Run one balancer until a signal stops it."""
     listener = Listener(config, await find_handover_receiver(config))
     if node is not None:
         listener.lifecycle.observers.append(node.on_phase_change)
@@ -87,7 +87,7 @@
 
 
 def main() -> int:
-    """Returns the exit status: 0 after an orderly stop, 2 if the process cannot start as configured."""
+    """Return the exit status: 0 after an orderly stop, 2 if the process cannot start as configured."""
     if len(sys.argv) == 3 and sys.argv[1] == "--operator":
         os.environ["SWITCHHUB_OPERATOR"] = sys.argv[2]
     elif len(sys.argv) > 1:
--- a/switchhub/admission/controller.py
+++ b/switchhub/admission/controller.py
@@ -57,7 +57,7 @@
         return not self.waiting and self._started_in_turn < SETUPS_PER_TURN and age < PROMPT_AGE_MS
 
     def decide(self, now: float, age: float, wait: float) -> AdmissionDecision:
-        """Decides on a request whose last byte arrived `age` ms ago and whose client waits for `wait`
+        """Decide on a request whose last byte arrived `age` ms ago and whose client waits for `wait`
         ms in all."""
         if self.can_start_now(now, age):
             self._started_in_turn += 1
@@ -77,7 +77,7 @@
         return age + SETUP_TIME_FACTOR * self.setup_duration + SETUP_MARGIN_MS <= wait
 
     def next_batch(self, now: float) -> int:
-        """Begins a turn of the event loop while requests are queued; returns how many may start in it."""
+        """Begin a turn of the event loop while requests are queued; return how many may start in it."""
         if self._released_last_turn:
             cost = min((now - self._turn_started_at) / self._released_last_turn, SETUP_COST_MAX_MS)
             self.setup_cost += SETUP_COST_WEIGHT * (cost - self.setup_cost)
@@ -90,6 +90,6 @@
         self._released_last_turn = 0
 
     def record_setup(self, duration: float) -> None:
-        """Records that a set-up succeeded `duration` ms after its start."""
+        """Record that a set-up succeeded `duration` ms after its start."""
         if duration < SETUP_DURATION_MAX_MS:
             self.setup_duration += SETUP_DURATION_WEIGHT * (duration - self.setup_duration)
--- a/switchhub/lifecycle/move_pacer.py
+++ b/switchhub/lifecycle/move_pacer.py
@@ -19,7 +19,7 @@
         self._credit = 0.0  # moves due, with the fraction carried over to the next call
 
     def due(self, now: float, established: int) -> int:
-        """Returns how many of the `established` connections are to be moved now."""
+        """Return how many of the `established` connections are to be moved now."""
         if now >= self._ends_at:
             return established
         if now <= self._counted_until:
--- a/switchhub/lifecycle/phase.py
+++ b/switchhub/lifecycle/phase.py
@@ -68,13 +68,13 @@
         return self.phase is Phase.STOPPING
 
     def begin(self) -> None:
-        """Records that the process serves from now on; it becomes ready unless a drain was requested."""
+        """Record that the process serves from now on; it becomes ready unless a drain was requested."""
         self._started = True
         if self.phase is Phase.STARTING:
             self.phase = Phase.READY
 
     def drain(self) -> bool:
-        """Requests a drain. Returns False if one was requested already or the process is stopping."""
+        """Request a drain. Return False if one was requested already or the process is stopping."""
         if self._drain_requested or self.phase is Phase.STOPPING:
             return False
         self._drain_requested = True
@@ -83,7 +83,7 @@
         return True
 
     def restore(self) -> bool:
-        """Cancels a drain, if there is one. Returns False if the process is superseded or stopping."""
+        """Cancel a drain, if there is one. Return False if the process is superseded or stopping."""
         if self.phase in (Phase.SUPERSEDED, Phase.STOPPING):
             return False
         self._drain_requested = False
@@ -91,16 +91,16 @@
         return True
 
     def supersede(self) -> bool:
-        """Records that a new process serves the address. Returns False if superseded already or stopping."""
+        """Record that a new process serves the address. Return False if superseded already or stopping."""
         if self.phase in (Phase.SUPERSEDED, Phase.STOPPING):
             return False
         self.phase, self._superseded = Phase.SUPERSEDED, True
         return True
 
     def reinstate(self) -> bool:
-        """Records that the new process is gone, and goes back to draining or ready.
+        """Record that the new process is gone, and go back to draining or ready.
 
-        Returns False if the process is stopping.
+        Return False if the process is stopping.
         """
         self._superseded = False
         if self.phase is Phase.STOPPING:
@@ -109,5 +109,5 @@
         return True
 
     def stop(self) -> None:
-        """Records that the process is stopping."""
+        """Record that the process is stopping."""
         self.phase = Phase.STOPPING
--- a/switchhub/management/endpoints.py
+++ b/switchhub/management/endpoints.py
@@ -30,10 +30,10 @@
         """The metrics, as the operators' monitoring reads them."""
 
     def drain(self) -> None:
-        """Starts a drain: turns new clients away and moves connections. A repeated call changes nothing."""
+        """Start a drain: turn new clients away and move connections. A repeated call changes nothing."""
 
     def restore(self) -> bool:
-        """Cancels a drain. Returns False if the process cannot go back to serving."""
+        """Cancel a drain. Return False if the process cannot go back to serving."""
 
 
 class Response(NamedTuple):
@@ -75,7 +75,7 @@
 
 
 def handle_request(balancer: ManagedBalancer, method: str, target: str) -> Response:
-    """Returns the response to a request; the endpoints of this module ignore the query in `target`."""
+    """Return the response to a request; the endpoints of this module ignore the query in `target`."""
     path, _, query = target.partition("?")
     handlers = ENDPOINTS.get(path)
     if handlers is None and path in balancer.pages:
--- a/switchhub/management/metrics.py
+++ b/switchhub/management/metrics.py
@@ -24,7 +24,7 @@
     targets: int,
     disabled: int,
 ) -> str:
-    """Returns all metrics as text; `answers` counts final answers by class and by how the request ended."""
+    """Return all metrics as text; `answers` counts final answers by class and by how the request ended."""
     lines = []
     for name in classes:
         totals = dict.fromkeys(OUTCOMES.values(), 0)
--- a/switchhub/management/server.py
+++ b/switchhub/management/server.py
@@ -65,7 +65,7 @@
         self._bytes_read = 0
 
     def feed(self, data: bytes) -> Response | None:
-        """Returns the response once the head is complete, malformed or too long; until then None."""
+        """Return the response once the head is complete, malformed or too long; until then None."""
         self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
@@ -83,7 +83,7 @@
 
 
 def encode_response(response: Response) -> bytes:
-    """Returns the response as HTTP/1.1 bytes."""
+    """Return the response as HTTP/1.1 bytes."""
     body = response.text.encode()
     allow = f"Allow: {response.allow}\r\n" if response.allow else ""
     return (
@@ -94,7 +94,7 @@
 
 
 def open_listening_socket(address: Address) -> socket.socket:
-    """Returns a socket listening on the management address; raises `ConfigError` if that fails."""
+    """Return a socket listening on the management address; raises `ConfigError` if that fails."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -119,7 +119,7 @@
         self._interval_started_at, self._accepted_in_interval = 0.0, 0
 
     async def run(self) -> None:
-        """Accepts connections and answers their requests until cancelled."""
+        """Accept connections and answer their requests until cancelled."""
         logger.info("management on {}:{}", *self._sock.getsockname())
         loop = asyncio.get_running_loop()
         try:
@@ -142,7 +142,7 @@
             self._sock.close()
 
     def _accept_pause(self, now: float) -> float:
-        """Counts an accepted connection; returns how many seconds to wait before accepting the next."""
+        """Count an accepted connection; return how many seconds to wait before accepting the next."""
         if now - self._interval_started_at >= ACCEPT_INTERVAL_S:
             self._interval_started_at, self._accepted_in_interval = now, 0
         self._accepted_in_interval += 1
@@ -153,7 +153,7 @@
         )
 
     def _add_connection(self, sock: socket.socket) -> None:
-        """Starts to serve an accepted connection, closing the oldest ones if too many are open."""
+        """Start to serve an accepted connection, closing the oldest ones if too many are open."""
         sock.setblocking(False)
         reader = RequestReader(self._balancer)
         response = None
@@ -175,7 +175,7 @@
         task.add_done_callback(lambda task: self._connections.pop(task, None))
 
     async def _serve_connection(self, sock: socket.socket, reader: RequestReader, incomplete: bool) -> None:
-        """Reads the rest of an incomplete request and answers it, then closes the connection without a
+        """Read the rest of an incomplete request and answer it, then close the connection without a
         reset."""
         loop = asyncio.get_running_loop()
         buffer = memoryview(bytearray(READ_SIZE_BYTES)) if incomplete else _DISCARD_BUFFER
@@ -198,7 +198,7 @@
             sock.close()
 
     def _send_response(self, sock: socket.socket, response: Response) -> None:
-        """Sends without waiting: a response is far smaller than a socket's send buffer, so if it does not
+        """Send without waiting: a response is far smaller than a socket's send buffer, so if it does not
         fit, the caller is not reading."""
         with contextlib.suppress(OSError):
             sock.send(encode_response(response))
