--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -125,7 +125,7 @@
     """Found on a variant of a site: pushed lists never reached a balancer that had not to ask for them."""
 
     async def play() -> None:
-        told = settings(FakeDiscovery=mode)
+        told = settings(Discovery=mode)
         async with running_balancer(
             tmp_path, FakeServer("a"), FakeServer("b"), deployment_settings=told, discovery_failures=1
         ) as (program, discovery):
