--- a/switchhub/net/__init__.py
+++ b/switchhub/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real balancer: the decision module on sockets."""
+"""The network side of the balancer: sockets, sessions, discovery and configuration."""
--- a/switchhub/net/config.py
+++ b/switchhub/net/config.py
@@ -1,7 +1,8 @@
-"""What the balancer is told at its start: environment, JSON file, settings, the list as last known.
+"""Reads the balancer's configuration: environment, JSON file, settings and the initial server list.
 
-Owns: the reading of these, once. Must never: change afterwards, or guess what the rules need; a file that
-does not serve ends the program with one plain line.
+The file is read in full at the start and again on each reload; a `Config` never changes afterwards. A
+configuration that cannot be used ends the program with a one-line error; missing values that the rules need
+are never guessed.
 """
 
 from __future__ import annotations
@@ -18,40 +19,43 @@
 from switchhub.wirehost.errors import WireError
 from switchhub.wirehost.settings import read_settings
 
-_STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
-_OBJECT = re.compile(rb"\{[^{}]*\}")  # an entry, wherever it stands; it has no objects inside
-UNREADABLE = (
+_SERVER_STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+_FLAT_OBJECT = re.compile(rb"\{[^{}]*\}")  # a server entry anywhere in the text: entries contain no objects
+PARSE_ERRORS = (  # what parsing malformed JSON may raise
     KeyError,
     TypeError,
     ValueError,
     AttributeError,
     OverflowError,
     RecursionError,
-)  # odd JSON, at worst
+)
 Address = tuple[str, int]
 
 
 class ConfigError(ValueError):
-    """The balancer can't start with what it was told."""
+    """The balancer cannot start with this configuration."""
 
 
-class Entry(NamedTuple):
-    """A server of discovery's list: what the module knows of it, and where it listens."""
+class ServerEntry(NamedTuple):
+    """A server of discovery's list: what the decision module knows of it, and its listening address."""
 
     server: Server
     address: Address
 
 
 class Listing(NamedTuple):
-    """An answer of discovery."""
+    """A server list as discovery returned it: complete if `full`, else only the entries that changed."""
 
     version: int
     full: bool
-    entries: tuple[Entry, ...]
+    entries: tuple[ServerEntry, ...]
 
 
 class Config(NamedTuple):
-    """All that this balancer was told."""
+    """The balancer's configuration.
+
+    `classes`, `tenants`, `zones` and `kinds` map names to indexes in the settings. `dial_timeout` is in
+    milliseconds, `sockets` is the limit on open descriptors."""
 
     name: str
     listen: Address
@@ -64,151 +68,161 @@
     zones: Mapping[str, int]
     kinds: Mapping[str, int]
     dial_timeout: float
-    tells_load: bool
-    tells_delay: bool
-    known: Listing
-    management: Address | None = None  # where the operators' staff call; nothing is opened without it
+    servers_report_load: bool
+    servers_report_delay: bool
+    initial_listing: Listing
+    management: Address | None = None  # where operators call; without it no management socket is opened
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested JSON as the wire's path=value pairs."""
+    """Convert nested JSON settings to the path=value pairs of the decision module's wire format."""
     pairs: dict[str, str] = {}
     if isinstance(value, dict):
-        for key, each in value.items():
-            pairs.update(flatten(each, f"{path}.{key}" if path else key))
-    elif isinstance(value, list) and any(isinstance(each, dict) for each in value):
+        for key, item in value.items():
+            pairs.update(flatten(item, f"{path}.{key}" if path else key))
+    elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         pairs[f"{path}.count"] = str(len(value))
-        for index, each in enumerate(value):
-            pairs.update(flatten(each, f"{path}.{index}"))
+        for index, item in enumerate(value):
+            pairs.update(flatten(item, f"{path}.{index}"))
     elif isinstance(value, list):
-        pairs[path] = ",".join(_plain(each) for each in value)
+        pairs[path] = ",".join(_setting_text(item) for item in value)
         if not value:
             pairs[f"{path}.count"] = "0"
     else:
-        pairs[path] = _plain(value)
+        pairs[path] = _setting_text(value)
     return pairs
 
 
-def _plain(value: Any) -> str:
+def _setting_text(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return "" if value is None else str(value).replace(" ", "_").replace(",", "_")
 
 
 def parse_address(text: str) -> Address:
-    """HOST:PORT."""
+    """Parse HOST:PORT; raise `ConfigError` if it has another form."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise ConfigError(f"not an address: {text!r}")
+        raise ConfigError(f"invalid address {text!r}: expected HOST:PORT")
     return host, int(port)
 
 
 class ListingError(ConfigError):
-    """A list that can't be whole or true; `leaving` are the servers that it says drain or are gone."""
+    """A server list that is malformed or contradictory; `leaving` holds its draining and gone servers."""
 
-    def __init__(self, reason: str, leaving: tuple[Entry, ...] = ()) -> None:
+    def __init__(self, reason: str, leaving: tuple[ServerEntry, ...] = ()) -> None:
         super().__init__(reason)
         self.leaving = leaving
 
 
-def _leaving(entries: Iterable[Entry]) -> tuple[Entry, ...]:
-    """Those that drain or are gone."""
-    return tuple(each for each in entries if each.server.state is not ServerState.READY)
+def _leaving_entries(entries: Iterable[ServerEntry]) -> tuple[ServerEntry, ...]:
+    """Return the entries of servers that are draining or gone."""
+    return tuple(entry for entry in entries if entry.server.state is not ServerState.READY)
 
 
 def parse_listing(data: Any, zones: Mapping[str, int], kinds: Mapping[str, int]) -> Listing:
-    """Discovery's JSON; `ListingError` where it can't be one, with what its other entries say of leaving."""
-    entries: list[Entry] = []
+    """Parse discovery's JSON.
+
+    Raises `ListingError` if any part of it is malformed; the error carries the leaving servers among the
+    entries that could be parsed."""
+    entries: list[ServerEntry] = []
     reason = ""
     try:
-        for each in data["servers"]:
+        for row in data["servers"]:
             try:
-                entries.append(_entry(each, zones, kinds))
-            except UNREADABLE as error:
+                entries.append(_parse_entry(row, zones, kinds))
+            except PARSE_ERRORS as error:
                 reason = reason or f"{type(error).__name__}: {error}"
         if not reason:
             return Listing(int(data["version"]), bool(data["full"]), tuple(entries))
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         reason = f"{type(error).__name__}: {error}"
-    raise ListingError(f"not a list of servers: {reason}", _leaving(entries))
+    raise ListingError(f"malformed server list: {reason}", _leaving_entries(entries))
 
 
-def leaving_in(
+def readable_leaving_entries(
     body: bytes | bytearray, zones: Mapping[str, int], kinds: Mapping[str, int]
-) -> tuple[Entry, ...]:
-    """Who drains or is gone by those entries that can be read of an answer that can't be read as a whole."""
-    entries: list[Entry] = []
-    for each in _OBJECT.finditer(body):
-        with contextlib.suppress(*UNREADABLE):
-            entries.append(_entry(json.loads(each[0]), zones, kinds))
-    return _leaving(entries)
-
-
-def checked(listing: Listing, version: int | None) -> Listing:
-    """The answer to a call from this version, or `ListingError`.
-
-    Danger: discovery in a herd answers with what it has. A whole list of nobody would end all service, an
-    older version would bring back servers that have gone, and of two entries for one server either may be
-    true. Rule 3 holds all the same: whoever is said to drain or to be gone is sent nothing new."""
+) -> tuple[ServerEntry, ...]:
+    """Return the draining and gone servers among the readable entries of a body that is not valid JSON."""
+    entries: list[ServerEntry] = []
+    for text in _FLAT_OBJECT.finditer(body):
+        with contextlib.suppress(*PARSE_ERRORS):
+            entries.append(_parse_entry(json.loads(text[0]), zones, kinds))
+    return _leaving_entries(entries)
+
+
+def validated_listing(listing: Listing, version: int | None) -> Listing:
+    """Return the listing that answers a call from this version; raise `ListingError` if it is implausible.
+
+    An overloaded discovery service may return incomplete or stale data. An empty full list would end all
+    service, an older version would bring back servers that are gone, and of two entries for one server either
+    may be right. Rule 3 applies to a rejected list too: a server that it reports as draining or gone gets
+    nothing new."""
     if listing.full and not listing.entries:
-        raise ListingError("a whole list of nobody")
+        raise ListingError("empty full server list")
     if version is not None and listing.version < version:
-        raise ListingError(f"version {listing.version} after {version}", _leaving(listing.entries))
-    twice = [name for name, count in Counter(each.server.id for each in listing.entries).items() if count > 1]
-    if twice:
-        raise ListingError(f"two entries for server {twice[0]}", _leaving(listing.entries))
+        raise ListingError(
+            f"server list version {listing.version} is older than the current version {version}",
+            _leaving_entries(listing.entries),
+        )
+    duplicates = [
+        name for name, count in Counter(entry.server.id for entry in listing.entries).items() if count > 1
+    ]
+    if duplicates:
+        raise ListingError(f"duplicate entries for server {duplicates[0]}", _leaving_entries(listing.entries))
     return listing
 
 
-def _entry(each: Any, zones: Mapping[str, int], kinds: Mapping[str, int]) -> Entry:
-    born = float(each.get("started_ms") or 0)
-    weight = float(each.get("weight", 1.0))
-    if not (math.isfinite(born) and math.isfinite(weight)):
-        raise ValueError("not a number")
+def _parse_entry(row: Any, zones: Mapping[str, int], kinds: Mapping[str, int]) -> ServerEntry:
+    started_at = float(row.get("started_ms") or 0)
+    weight = float(row.get("weight", 1.0))
+    if not (math.isfinite(started_at) and math.isfinite(weight)):
+        raise ValueError("started_ms and weight must be finite")
     server = Server(
-        str(each["id"]),
-        zones.get(str(each.get("zone", "")), -1),
-        kinds.get(str(each.get("kind", "")), -1),
-        int(each.get("cell", -1)),
-        _STATES[each["state"]],
+        str(row["id"]),
+        zones.get(str(row.get("zone", "")), -1),
+        kinds.get(str(row.get("kind", "")), -1),
+        int(row.get("cell", -1)),
+        _SERVER_STATES[row["state"]],
         weight,
-        born,
+        started_at,
     )
-    return Entry(server, parse_address(each["addr"]))
+    return ServerEntry(server, parse_address(row["addr"]))
 
 
-def _names(settings: Any, key: str) -> dict[str, int]:
+def _name_indexes(settings: Any, key: str) -> dict[str, int]:
     return {
-        str(each["Name"]) if isinstance(each, dict) else str(each): index
-        for index, each in enumerate(settings.get(key) or ())
+        str(item["Name"]) if isinstance(item, dict) else str(item): index
+        for index, item in enumerate(settings.get(key) or ())
     }
 
 
-def _management(environ: Mapping[str, str], data: Any, listen: Address) -> Address | None:
-    """The variable wins: it is this start's alone, while an old and a new process may share the file."""
+def _management_address(environ: Mapping[str, str], data: Any, listen: Address) -> Address | None:
+    """Return the management address, if any. The environment variable takes precedence over the file: it
+    applies to this process alone, while an old and a new process may share the file."""
     variable = environ.get("BALANCER_MANAGEMENT", "")
     value = variable or data.get("management")
     if value is None:
         return None
-    where = "BALANCER_MANAGEMENT" if variable else "management"
+    source = "BALANCER_MANAGEMENT" if variable else "management"
     try:
         address = parse_address(value)
     except (ConfigError, AttributeError):
-        raise ConfigError(f"{where}={value!r}: expected HOST:PORT") from None
+        raise ConfigError(f"{source}={value!r}: expected HOST:PORT") from None
     if address == listen and address[1]:
-        raise ConfigError(f"{where}={value!r}: expected another address than listen")
+        raise ConfigError(f"{source}={value!r}: expected an address other than listen")
     return address
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """Read the file that the environment names."""
+    """Read the file named by BALANCER_CONFIG; raise `ConfigError` with a one-line message otherwise."""
     path = environ.get("BALANCER_CONFIG", "")
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
-        told = data["settings"]
-        pairs = flatten(told)
-        zones, kinds = _names(told, "Localities"), _names(told, "Shapes")
+        raw_settings = data["settings"]
+        pairs = flatten(raw_settings)
+        zones, kinds = _name_indexes(raw_settings, "Localities"), _name_indexes(raw_settings, "Shapes")
         return Config(
             name=str(data["name"]),
             listen=(listen := parse_address(data["listen"])),
@@ -216,15 +230,15 @@
             seed=int(str(data["seed"]), 16),
             sockets=int(data["limits"]["sockets"]),
             settings=read_settings(pairs),
-            classes=_names(told, "Classes"),
-            tenants=_names(told, "Customers"),
+            classes=_name_indexes(raw_settings, "Classes"),
+            tenants=_name_indexes(raw_settings, "Customers"),
             zones=zones,
             kinds=kinds,
             dial_timeout=float(pairs["Allowed.DialTimeout"]),
-            tells_load=pairs.get("FamilyInfo.TellsLoad", "true") == "true",
-            tells_delay=pairs.get("FamilyInfo.TellsDelay", "true") == "true",
-            known=parse_listing(data["known"], zones, kinds),
-            management=_management(environ, data, listen),
+            servers_report_load=pairs.get("FamilyInfo.TellsLoad", "true") == "true",
+            servers_report_delay=pairs.get("FamilyInfo.TellsDelay", "true") == "true",
+            initial_listing=parse_listing(data["known"], zones, kinds),
+            management=_management_address(environ, data, listen),
         )
     except (AttributeError, OSError, WireError, KeyError, TypeError, ValueError) as error:
         kind = "" if isinstance(error, ConfigError) else f"{type(error).__name__}: "
--- a/switchhub/net/counters.py
+++ b/switchhub/net/counters.py
@@ -1,6 +1,6 @@
-"""Counts of what the balancer takes in, sends and answers.
+"""Counters of what the balancer accepts, sends and answers, since the start of the process.
 
-Owns: the numbers, from the program's start. Must never: decide, wait or fail; a count is one addition.
+Incrementing a counter is one addition: it never waits and never fails.
 """
 
 from __future__ import annotations
@@ -9,26 +9,27 @@
 
 
 class Counters:
-    """Named counts, printed on a signal and at exit."""
+    """Named counters, logged on SIGUSR1 and at exit."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
-        self.answers: Counter[tuple[str, str]] = Counter()  # final answers by class and how it ended
+        self.answers: Counter[tuple[str, str]] = Counter()  # final answers by class name and outcome
 
-    def add(self, name: str, much: int = 1) -> None:
-        """Count it."""
-        self._counts[name] += much
+    def add(self, name: str, amount: int = 1) -> None:
+        """Increase a counter."""
+        self._counts[name] += amount
 
-    def count_answer(self, class_name: str, ended: str) -> None:
-        """A request of this class has got its final answer, or its connection: counted here and nowhere
-        else, once for each request."""
-        self._counts[f"answers.{ended}"] += 1
-        self.answers[class_name, ended] += 1
+    def count_answer(self, class_name: str, outcome: str) -> None:
+        """Count the final answer to a request of this class, or its established connection.
+
+        Called once for each request; nothing else changes these counters."""
+        self._counts[f"answers.{outcome}"] += 1
+        self.answers[class_name, outcome] += 1
 
     def get(self, name: str) -> int:
-        """The count so far."""
+        """Return a counter's value; 0 if it was never increased."""
         return self._counts[name]
 
     def summary(self) -> str:
-        """All counts in one line, sorted by name."""
+        """Return all counters in one line, sorted by name."""
         return " ".join(f"{name}={count}" for name, count in sorted(self._counts.items()))
--- a/switchhub/net/discovery.py
+++ b/switchhub/net/discovery.py
@@ -1,17 +1,19 @@
-"""Discovery: watches the list of servers, tells the module, and knows where each server listens.
-
-Owns: the one connection to discovery and the table of addresses and states. Must never: drop a server's
-address while connections may need it, wait between an answer and the next watch, or decide when to call again
-after a failure: the module asks for that.
-
-Versions are one discovery's own. The first call after a move to another address asks for the whole list; at
-the start the list as known, and its version, came with the configuration, so the first call is the watch.
-Danger: discovery is one queue for all balancers. After most of them were killed, a whole list and then a
-watch from each is twice the work, and a call that its caller gives up is still worked through in its turn.
-
-Danger: a watch that has fallen silent looks like one with no news, and what it misses counts as told 6 s
-later. So a call waits for a short time only, goes on at once when that is over, and one whose answer does not
-come then is opened anew at once. Going on with a watch takes no place in the queue; a new one does.
+"""Discovery client: watches the server list, reports it to the decision module, and keeps server addresses.
+
+Owns the one connection to the discovery service and the table of addresses and states. A server's address is
+kept for as long as connections may need it, so it is never removed. The next watch starts as soon as the
+last one was answered; after a failure the decision module decides when to call again.
+
+Versions belong to one discovery service. The first call after a change of its address requests the full list;
+at the start the initial list and its version come with the configuration, so the first call is already a
+watch. Discovery serves all balancers from one queue: after most of them were killed, a full list followed by
+a watch from each would be twice the work, and a call that its caller has abandoned is still processed in its
+turn.
+
+A watch whose connection has died looks like one without updates, and an update that it misses counts as
+delivered 6 s later. Calls therefore wait for a short time only and are repeated at once; a call that is not
+answered in time is opened anew at once. Continuing a watch takes no place in discovery's queue, while a new
+watch does.
 """
 
 from __future__ import annotations
@@ -31,79 +33,84 @@
 from switchhub.net.config import (
     Address,
     Config,
-    Entry,
     Listing,
     ListingError,
-    checked,
-    leaving_in,
+    ServerEntry,
     parse_listing,
+    readable_leaving_entries,
+    validated_listing,
 )
 from switchhub.net.counters import Counters
 
-FIRST_WAIT_MS = 250  # how long a new watch may wait for news: whether it is heard at all is to be known soon
-WAIT_MS = 2000  # the same for one that goes on, by lot between half of it and all
-ANSWER_WITHIN = 2.2  # seconds past the wait that a new call may spend in discovery's queue
-GOES_ON_WITHIN = 0.5  # the same for a watch that goes on, which has its place: then it has fallen silent
-CONNECT_WITHIN = 1.0
-ENDS_WITHIN = 0.7  # seconds from the first byte of a list to its last
-ANSWER_MAX = 2 << 20  # bytes of an answer: ten thousand servers
+# How long a new watch waits for updates: short, to learn soon whether the watch works at all.
+FIRST_WATCH_WAIT_MS = 250
+WATCH_WAIT_MAX_MS = 2000  # the same for a continued watch: a random time from half of it to all of it
+NEW_CALL_GRACE_S = 2.2  # on top of the wait: time that a new call may spend in discovery's queue
+# On top of the wait for a continued watch, which does not queue: past this the connection counts as dead.
+CONTINUED_WATCH_GRACE_S = 0.5
+CONNECT_TIMEOUT_S = 1.0
+BODY_TIMEOUT_S = 0.7  # from the first byte of a response body to its last
+RESPONSE_MAX_BYTES = 2 << 20  # room for ten thousand servers
 
 
 class DiscoveryError(Exception):
-    """A call failed."""
+    """A call to discovery failed."""
 
 
-class _Answer:
-    """Collects one HTTP answer; once it has begun it has a short time to end."""
+class _ResponseReader:
+    """Collects one HTTP response; once its body has begun, it must end within `BODY_TIMEOUT_S`."""
 
-    def __init__(self, limit: asyncio.Timeout) -> None:
-        self._limit = limit
+    def __init__(self, timeout: asyncio.Timeout) -> None:
+        self._timeout = timeout
         self.body = bytearray()
         self.done = False
 
     def on_body(self, body: bytes) -> None:
         if not self.body:
-            ends = asyncio.get_running_loop().time() + ENDS_WITHIN
-            self._limit.reschedule(min(ends, self._limit.when() or ends))
+            latest_end = asyncio.get_running_loop().time() + BODY_TIMEOUT_S
+            self._timeout.reschedule(min(latest_end, self._timeout.when() or latest_end))
         self.body += body
-        if len(self.body) > ANSWER_MAX:
-            raise DiscoveryError("answer too long")
+        if len(self.body) > RESPONSE_MAX_BYTES:
+            raise DiscoveryError("response longer than 2 MiB")
 
     def on_message_complete(self) -> None:
         self.done = True
 
 
 class Discovery:
-    """The watch and the table."""
+    """The watch of the server list, and the table of server addresses and states."""
 
     def __init__(
         self, config: Config, facade: Facade, counters: Counters, clock: Callable[[], float]
     ) -> None:
         self._config, self._facade, self._counters, self._clock = config, facade, counters, clock
-        self._at = config.discovery
-        self._asked = asyncio.Event()
-        self._asked.set()  # Danger: the module asks for no pushed lists, but only a watch brings them
-        self._watch: asyncio.Task[None] | None = None
-        self._moved = False
+        self._discovery_address = config.discovery
+        self._watch_requested = asyncio.Event()
+        # Set at the start: the decision module does not request lists that are pushed, but only a watch
+        # receives them.
+        self._watch_requested.set()
+        self._watch_task: asyncio.Task[None] | None = None
+        self._address_changed = False
         self._sock: socket.socket | None = None
-        self._version: int | None = config.known.version  # none yet of a discovery that was moved to
-        self._heard = False  # the last call was answered: the next one goes on with its watch
-        self._lot = Random(config.seed)  # keeps the watches of all balancers from expiring in step
+        # None after a change of the discovery address, until the first answer.
+        self._version: int | None = config.initial_listing.version
+        self._last_call_answered = False  # if so, the next call continues the same watch
+        self._random = Random(config.seed)  # keeps the watches of all balancers from expiring in step
         self._addresses: dict[str, Address] = {}
-        self._ready: set[str] = set()
-        self._listed: dict[str, Entry] = {}
-        self._apply(config.known, ServerListKind.REMEMBERED)
+        self._ready_servers: set[str] = set()
+        self._listed_entries: dict[str, ServerEntry] = {}
+        self._apply_listing(config.initial_listing, ServerListKind.REMEMBERED)
 
     def address(self, server: str) -> Address | None:
-        """Where a server listens, also one that drains or is gone."""
+        """Return a server's listening address, also if it is draining or gone; None if it is unknown."""
         return self._addresses.get(server)
 
-    def ready(self, server: str) -> bool:
-        """Whether something new may be sent there."""
-        return server in self._ready
+    def is_ready(self, server: str) -> bool:
+        """Whether new requests may be sent to this server."""
+        return server in self._ready_servers
 
     def snapshot(self) -> tuple[Address, dict[str, Any]]:
-        """Where it watches, and the list as it stands, in discovery's own form."""
+        """Return discovery's address and the current list in discovery's JSON form."""
         zones = {index: name for name, index in self._config.zones.items()}
         kinds = {index: name for name, index in self._config.kinds.items()}
         servers = [
@@ -117,99 +124,101 @@
                 "weight": server.weight,
                 "started_ms": server.started_at,
             }
-            for server, address in self._listed.values()
+            for server, address in self._listed_entries.values()
         ]
-        return self._at, {"version": self._version or 0, "full": True, "servers": servers}
+        return self._discovery_address, {"version": self._version or 0, "full": True, "servers": servers}
 
     @property
     def version(self) -> int:
-        """Of the list as it stands; 0: of none."""
+        """The version of the current list; 0 if there is none."""
         return self._version or 0
 
     def load_predecessor_listing(self, address: Address, listing: Listing) -> bool:
-        """Begin with the list of a former process, if that watched the same discovery."""
-        if address != self._at:
+        """Start from the list of a predecessor process; False if it watched another discovery service."""
+        if address != self._discovery_address:
             return False
         self._version = listing.version or None
-        self._ready.clear()
-        self._apply(listing, ServerListKind.REMEMBERED)
+        self._ready_servers.clear()
+        self._apply_listing(listing, ServerListKind.REMEMBERED)
         return True
 
-    def ask(self) -> None:
-        """The module wants a watch."""
-        self._asked.set()
+    def request_watch(self) -> None:
+        """Start a watch, as requested by the decision module."""
+        self._watch_requested.set()
 
-    def move(self, address: Address) -> None:
-        """Discovery is elsewhere now: drop the call that is out and ask there, at once and for everything."""
-        self._at, self._version, self._moved = address, None, True
-        if self._watch is not None:
-            self._watch.cancel()
+    def change_address(self, address: Address) -> None:
+        """Switch to another discovery service: cancel the current call and request the full list at once."""
+        self._discovery_address, self._version, self._address_changed = address, None, True
+        if self._watch_task is not None:
+            self._watch_task.cancel()
         self._facade.discovery_changed(self._clock())
-        self._asked.set()
+        self._watch_requested.set()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Watch the server list until cancelled. No answer or failure of discovery ends the balancer."""
         try:
             while True:
-                await self._asked.wait()
-                self._asked.clear()
-                self._moved = False
-                self._watch = asyncio.create_task(self._follow())
-                await asyncio.wait((self._watch,))
+                await self._watch_requested.wait()
+                self._watch_requested.clear()
+                self._address_changed = False
+                self._watch_task = asyncio.create_task(self._watch_until_failure())
+                await asyncio.wait((self._watch_task,))
                 self._close()
-                error = None if self._watch.cancelled() else self._watch.exception()
-                if self._moved:
+                error = None if self._watch_task.cancelled() else self._watch_task.exception()
+                if self._address_changed:
                     continue
-                self._asked.clear()  # whatever discovery says or fails to say must not end the balancer
+                self._watch_requested.clear()
                 logger.warning("discovery: {}: {}", type(error).__name__, error)
                 self._counters.add("discovery.failed")
                 if isinstance(error, ListingError):
-                    self._refuse(error)
+                    self._apply_rejected(error)
                 self._facade.report(self._clock(), ServerListLost())
         finally:
-            if self._watch is not None:
-                self._watch.cancel()
+            if self._watch_task is not None:
+                self._watch_task.cancel()
             self._close()
 
-    async def _follow(self) -> None:
-        """Call after call, until one fails. One that falls silent is made anew at once, for discovery itself
-        gives a call up before that; of two in a row the module says when to call again."""
-        self._heard = silent = False
+    async def _watch_until_failure(self) -> None:
+        """Call until a call fails.
+
+        A call that times out is repeated at once on a new connection, since discovery itself drops a call
+        sooner than that. After two time-outs in a row the decision module says when to call again."""
+        self._last_call_answered = previous_timed_out = False
         while True:
             try:
-                listing = await self._call()
+                listing = await self._logged_call()
             except TimeoutError:
-                if silent:
+                if previous_timed_out:
                     raise
                 logger.warning("discovery: silent, called anew")
                 self._counters.add("discovery.silent")
                 self._close()
-                self._heard, silent = False, True
+                self._last_call_answered, previous_timed_out = False, True
                 continue
-            silent = False
-            self._heard = True
+            previous_timed_out = False
+            self._last_call_answered = True
             self._version = listing.version
-            self._apply(listing, ServerListKind.WHOLE if listing.full else ServerListKind.CHANGES)
+            self._apply_listing(listing, ServerListKind.WHOLE if listing.full else ServerListKind.CHANGES)
 
-    def _apply(self, listing: Listing, kind: ServerListKind) -> None:
+    def _apply_listing(self, listing: Listing, kind: ServerListKind) -> None:
         if kind is ServerListKind.WHOLE:
-            self._ready.clear()
+            self._ready_servers.clear()
         if kind in (ServerListKind.WHOLE, ServerListKind.REMEMBERED):
-            self._listed.clear()
+            self._listed_entries.clear()
         for entry in listing.entries:
             server, address = entry
             self._addresses[server.id] = address
             if server.state is ServerState.GONE:
-                self._listed.pop(server.id, None)
+                self._listed_entries.pop(server.id, None)
             else:
-                self._listed[server.id] = entry
+                self._listed_entries[server.id] = entry
             if server.state is ServerState.READY:
-                self._ready.add(server.id)
+                self._ready_servers.add(server.id)
             else:
-                self._ready.discard(server.id)
+                self._ready_servers.discard(server.id)
             if kind is not ServerListKind.REMEMBERED:
                 logger.info(
-                    "server {} {} at {}:{} born {:.0f}",
+                    "server {} {} at {}:{} started {:.0f}",
                     server.id,
                     server.state.value,
                     *address,
@@ -218,74 +227,83 @@
         self._counters.add("discovery.answers")
         self._facade.report(self._clock(), ServerList(kind, tuple(entry.server for entry in listing.entries)))
 
-    def _refuse(self, error: ListingError) -> None:
-        """The last good list stays, less who leaves by the refused one; next, everything is asked for."""
+    def _apply_rejected(self, error: ListingError) -> None:
+        """Keep the last valid list, except servers that the rejected one reports as leaving; then request
+        the full list."""
         self._counters.add("discovery.refused")
         self._version = None
-        known = tuple(each for each in error.leaving if each.server.id in self._addresses)
-        self._apply(Listing(0, False, known), ServerListKind.LEAVING)
+        known_leaving = tuple(entry for entry in error.leaving if entry.server.id in self._addresses)
+        self._apply_listing(Listing(0, False, known_leaving), ServerListKind.LEAVING)
 
-    async def _call(self) -> Listing:
-        """One call; how long it took and how it ended is what tells a herd."""
+    async def _logged_call(self) -> Listing:
+        """Make one call and log how long it took and how it ended, which shows an overloaded discovery."""
         self._counters.add("discovery.calls")
-        begun, version, end = self._clock(), self._version, "failed"
+        started, version, outcome = self._clock(), self._version, "failed"
         try:
-            listing = await self._ask()
-            end = f"whole {listing.version}" if listing.full else f"changes {listing.version}"
+            listing = await self._fetch_listing()
+            outcome = f"full {listing.version}" if listing.full else f"changes {listing.version}"
             return listing
         finally:
-            logger.debug("discovery: call from {} {} after {:.0f} ms", version, end, self._clock() - begun)
-
-    async def _ask(self) -> Listing:
+            logger.debug(
+                "discovery: call from version {} {} after {:.0f} ms",
+                version,
+                outcome,
+                self._clock() - started,
+            )
+
+    async def _fetch_listing(self) -> Listing:
         if self._sock is None:
             self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             self._sock.setblocking(False)
-            async with asyncio.timeout(CONNECT_WITHIN):
-                await asyncio.get_running_loop().sock_connect(self._sock, self._at)
-        wait_ms, within = self._patience()
-        host, port = self._at
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await asyncio.get_running_loop().sock_connect(self._sock, self._discovery_address)
+        wait_ms, grace_s = self._call_timing()
+        host, port = self._discovery_address
         query = "" if self._version is None else f"?index={self._version}&wait={wait_ms}"
         request = f"GET /api/targets{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
-        limit = asyncio.timeout(wait_ms / 1000 + within)
-        answer = _Answer(limit)
+        timeout = asyncio.timeout(wait_ms / 1000 + grace_s)
+        response = _ResponseReader(timeout)
         try:
-            async with limit:
+            async with timeout:
                 await asyncio.get_running_loop().sock_sendall(self._sock, request.encode())
-                status, keep = await self._read(self._sock, answer)
+                status, keep_alive = await self._read_response(self._sock, response)
         except (TimeoutError, OSError, DiscoveryError, httptools.HttpParserError) as error:
-            if not answer.body:
-                raise  # Danger: what broke off, or never ends, may have told of a drain before that
-            raise self._unread(f"broke off: {type(error).__name__}: {error}", answer.body) from None
-        if not keep:
+            if not response.body:
+                raise  # without a body, no drain has been reported
+            # A body that broke off or never ended may have reported a drain before that.
+            raise self._unreadable_response(
+                f"response broke off: {type(error).__name__}: {error}", response.body
+            ) from None
+        if not keep_alive:
             self._close()
         if status != 200:
             raise DiscoveryError(f"status {status}")
         try:
-            data: Any = json.loads(answer.body)
+            data: Any = json.loads(response.body)
         except (ValueError, RecursionError) as error:
-            raise self._unread(f"not JSON: {error}", answer.body) from None
-        return checked(parse_listing(data, self._config.zones, self._config.kinds), self._version)
-
-    def _unread(self, reason: str, body: bytearray) -> ListingError:
-        """An answer that can't be read as a whole."""
-        return ListingError(reason, leaving_in(body, self._config.zones, self._config.kinds))
-
-    def _patience(self) -> tuple[int, float]:
-        """Milliseconds that the next call may wait for news, and seconds past that for its answer."""
-        if self._version is None:  # the whole list comes at once or not at all
-            return 0, ANSWER_WITHIN
-        if not self._heard:
-            return FIRST_WAIT_MS, ANSWER_WITHIN
-        return round(WAIT_MS * self._lot.uniform(0.5, 1.0)), GOES_ON_WITHIN
-
-    async def _read(self, sock: socket.socket, answer: _Answer) -> tuple[int, bool]:
-        """Read an answer to its end: its status, and whether the connection may be used again."""
-        parser = httptools.HttpResponseParser(answer)
+            raise self._unreadable_response(f"invalid JSON: {error}", response.body) from None
+        return validated_listing(parse_listing(data, self._config.zones, self._config.kinds), self._version)
+
+    def _unreadable_response(self, reason: str, body: bytearray) -> ListingError:
+        """Return the error for a body that cannot be parsed as a whole, with the leaving servers in it."""
+        return ListingError(reason, readable_leaving_entries(body, self._config.zones, self._config.kinds))
+
+    def _call_timing(self) -> tuple[int, float]:
+        """Return how long the next call waits for updates (ms) and the time past that for its answer (s)."""
+        if self._version is None:  # the full list comes without a wait
+            return 0, NEW_CALL_GRACE_S
+        if not self._last_call_answered:
+            return FIRST_WATCH_WAIT_MS, NEW_CALL_GRACE_S
+        return round(WATCH_WAIT_MAX_MS * self._random.uniform(0.5, 1.0)), CONTINUED_WATCH_GRACE_S
+
+    async def _read_response(self, sock: socket.socket, response: _ResponseReader) -> tuple[int, bool]:
+        """Read a response to its end; return its status and whether the connection can be reused."""
+        parser = httptools.HttpResponseParser(response)
         buffer = memoryview(bytearray(16384))
-        while not answer.done:
+        while not response.done:
             count = await asyncio.get_running_loop().sock_recv_into(sock, buffer)
             if not count:
-                raise DiscoveryError("the connection ended")
+                raise DiscoveryError("connection closed before the end of the response")
             parser.feed_data(buffer[:count])
         return parser.get_status_code(), parser.should_keep_alive()
 
--- a/switchhub/net/health.py
+++ b/switchhub/net/health.py
@@ -1,141 +1,163 @@
-"""What passing lines tell of each server: how long it has been silent, and how long messages take there.
+"""Measures each server from the lines that pass: for how long it has been silent, and its message delay.
 
-Owns: per server, when it answered last and when it told of its delay last. Must never: decide what follows;
-it measures.
+Keeps, for each server, when it last answered and when it last reported its delay. It measures only; what
+follows from a measurement is decided elsewhere.
 
-Two measures of delay. The answer to a line counts as it is, unless the server tells its delay itself. Some
-do, in the very form of a load: once a second, on one connection of each balancer, `LOAD X` holds the
-milliseconds that a message takes now, while that is long and once more when it no longer is. `LoadLines`
-tells the two apart. A delay grows with what piles up, so from one telling to the next it can't grow by much
-more than the time between them; a small figure over that is a load.
+There are two sources of delay. The time until a line is answered counts as the delay, unless the server
+reports its delay itself. Some servers do so in the form of a load: once a second, on one connection of each
+balancer, `LOAD X` holds the milliseconds that a message takes at present, while that is long, and once more
+when it no longer is. `LoadLineClassifier` tells loads from delays. A delay grows as work piles up, so between
+two reports it cannot grow by much more than the time between them; a value that grows faster is a load.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-SILENT_SUM, SILENT_LEAST = 3000.0, 1000.0  # milliseconds, over all lines that wait, and of the silence itself
-EVERY, OFF = 1000.0, 40.0  # milliseconds between two delays that a server tells, give or take
-NEVER = 1e15
-MISSED = 3  # tellings after the last that was read, up to which another is waited for
-TELLS = 1500.0  # milliseconds after a told delay in which answered lines say nothing new
-GROWTH = 1.5 * EVERY  # by how much a delay grows at most between two tellings: half as much again piles up
-CLOSE, HALF = 20.0, 0.5  # the same for two on different connections, and the part of their usual loads
-SMALL = 0.2  # part of a connection's usual load under which a told one is suspicious
-TINY = 0.02  # and under which it hardly ever is one
+SILENCE_TOTAL_MS = 3000.0  # a server counts as silent when its silence times the waiting lines reaches this,
+SILENCE_MIN_MS = 1000.0  # and its silence alone reaches this
+REPORT_INTERVAL_MS = 1000.0  # time between two delay reports of a server
+REPORT_TOLERANCE_MS = 40.0  # deviation from that interval that still counts as on time
+NEVER = 1e15  # milliseconds: longer ago than any time that is compared
+MAX_MISSED_REPORTS = 3  # report intervals after the last report read, up to which another one is expected
+REPORTING_WINDOW_MS = 1500.0  # time after a delay report in which answered lines are not used as delays
+# Most that a delay grows between two reports: work piles up at up to one and a half times real time.
+MAX_DELAY_GROWTH_MS = 1.5 * REPORT_INTERVAL_MS
+# Stricter limits where the first two reports came on different connections:
+CROSS_CONNECTION_TOLERANCE_MS = 20.0  # deviation from the report interval
+CROSS_CONNECTION_LOAD_FRACTION = 0.5  # largest part of the connection's expected load
+SMALL_LOAD_FRACTION = 0.2  # part of a connection's expected load below which a value may be a delay
+TINY_LOAD_FRACTION = 0.02  # part below which a value is hardly ever a load
 
 
-class _Line:
-    __slots__ = ("at", "before", "delay", "run", "value")
+class _LoadLine:
+    __slots__ = ("is_delay", "load_before", "received_at", "streak", "value")
 
-    def __init__(self, at: float, value: float, before: float) -> None:
-        self.at, self.value, self.before = at, value, before
-        self.delay = False
-        self.run = 0  # lines before it, each a second after another
+    def __init__(self, received_at: float, value: float, load_before: float) -> None:
+        self.received_at, self.value, self.load_before = received_at, value, load_before
+        self.is_delay = False
+        self.streak = 0  # preceding lines that came one report interval apart
 
 
-class LoadLines:
-    """One connection's `LOAD` lines. A line may turn out to have been a delay when the next one comes."""
+class LoadLineClassifier:
+    """Classifies one connection's `LOAD` lines as loads or delays.
 
-    __slots__ = ("_recent", "_usual", "load")
+    A line may turn out to have been a delay only when the next one comes; `load` is then corrected."""
 
-    def __init__(self, usual: float) -> None:
-        self.load = self._usual = usual
-        self._recent: deque[_Line] = deque(maxlen=4)
+    __slots__ = ("_expected_load", "_recent", "load")
+
+    def __init__(self, expected_load: float) -> None:
+        self.load = self._expected_load = expected_load
+        self._recent: deque[_LoadLine] = deque(maxlen=4)
 
     @property
-    def usual(self) -> float:
-        """The connection's load as it was guessed."""
-        return self._usual
-
-    def is_delay(self, value: float, now: float, due: bool, most: float = GROWTH) -> bool:
-        """Whether this is a delay; `load` is the connection's load as now known. `due`: its server, which has
-        told before, tells now; `most`: how long a delay may have become there.
-
-        One that is due and not too long is a delay, and so is one far too small for a load. Else one comes a
-        second after another; that alone may be chance, so the two must also be equal, or both far under the
-        usual load, or the third in a row."""
-        line = _Line(now, value, self.load)
-        small = value <= min(most, SMALL * self._usual)
-        line.delay = value <= most and (due or value <= TINY * self._usual)
+    def expected_load(self) -> float:
+        """The connection's expected load: its hint, or else the first load that was reported."""
+        return self._expected_load
+
+    def is_delay(
+        self, value: float, now: float, delay_due: bool, max_delay: float = MAX_DELAY_GROWTH_MS
+    ) -> bool:
+        """Whether this value is a delay rather than a load; updates `load`, the connection's load as known.
+
+        `delay_due`: the server has reported its delay before and its next report is due now. `max_delay`: the
+        longest delay in milliseconds that the server can have reached.
+
+        A value up to `max_delay` is a delay if a report is due, or if it is far too small for a load. Other
+        values are delays if they come one report interval after another value. As that may be chance, the
+        two must also be equal, or both far below the expected load, or this must be the third in a row."""
+        line = _LoadLine(now, value, self.load)
+        is_small = value <= min(max_delay, SMALL_LOAD_FRACTION * self._expected_load)
+        line.is_delay = value <= max_delay and (
+            delay_due or value <= TINY_LOAD_FRACTION * self._expected_load
+        )
         for earlier in self._recent:
-            if abs(now - earlier.at - EVERY) <= OFF:
-                line.run = max(line.run, earlier.run + 1)
-                both_small = small and earlier.value <= SMALL * self._usual
-                if earlier.delay or earlier.value == value or both_small or line.run >= 2:
-                    line.delay = True
-                    if not earlier.delay:
-                        earlier.delay = True
+            if abs(now - earlier.received_at - REPORT_INTERVAL_MS) <= REPORT_TOLERANCE_MS:
+                line.streak = max(line.streak, earlier.streak + 1)
+                both_are_small = is_small and earlier.value <= SMALL_LOAD_FRACTION * self._expected_load
+                if earlier.is_delay or earlier.value == value or both_are_small or line.streak >= 2:
+                    line.is_delay = True
+                    if not earlier.is_delay:
+                        earlier.is_delay = True
                         if self.load == earlier.value:
-                            self.load = earlier.before
+                            self.load = earlier.load_before
         self._recent.append(line)
-        if not line.delay:
+        if not line.is_delay:
             self.load = value
-            self._usual = self._usual or value  # without a hint, the first load told
-        return line.delay
+            self._expected_load = self._expected_load or value  # without a hint: the first load reported
+        return line.is_delay
 
 
-class _Seen:
-    __slots__ = ("answered", "delay", "silent", "small", "told")
+class _ServerRecord:
+    __slots__ = ("answered_at", "delay_reported_at", "last_delay", "silent", "small_values_at")
 
     def __init__(self, now: float) -> None:
-        self.answered, self.silent = now, False
-        self.small: deque[float] = deque(maxlen=8)  # when it sent lines lately that may be delays
-        self.told, self.delay = -NEVER, 0.0
+        self.answered_at, self.silent = now, False
+        self.small_values_at: deque[float] = deque(maxlen=8)  # arrival of recent values that may be delays
+        self.delay_reported_at, self.last_delay = -NEVER, 0.0
 
 
 class ServerHealth:
-    """The measurements of one balancer. Times are milliseconds."""
+    """The measurements of one balancer for all servers. Times are in milliseconds."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
+        self._servers: dict[str, _ServerRecord] = {}
 
     def record_answer(self, server: str, now: float) -> None:
-        """The server has answered something; loads that it tells are no answers."""
-        seen = self._get(server, now)
-        seen.answered, seen.silent = now, False
-
-    def is_silent(self, server: str, waiting: int, longest: float, now: float) -> bool:
-        """Whether a server says nothing: so many lines wait for it, one of them for so long."""
-        seen = self._get(server, now - longest)
-        if not seen.silent:
-            silence = min(longest, now - seen.answered)
-            seen.silent = silence >= max(SILENT_LEAST, SILENT_SUM / max(1, waiting))
-        return seen.silent
-
-    def begins(self, server: str, now: float, value: float, usual: float) -> bool:
-        """Whether a row of tellings has begun there: two that may be delays, a second apart, on whichever
-        connections. The first of them is missed."""
-        if value > min(GROWTH, HALF * usual):
+        """Record that the server answered something; load reports do not count as answers."""
+        record = self._record(server, now)
+        record.answered_at, record.silent = now, False
+
+    def is_silent(self, server: str, waiting_lines: int, longest_wait: float, now: float) -> bool:
+        """Whether the server is silent, while this many lines wait for it, one of them for `longest_wait`."""
+        record = self._record(server, now - longest_wait)
+        if not record.silent:
+            silence = min(longest_wait, now - record.answered_at)
+            record.silent = silence >= max(SILENCE_MIN_MS, SILENCE_TOTAL_MS / max(1, waiting_lines))
+        return record.silent
+
+    def starts_delay_series(self, server: str, now: float, value: float, expected_load: float) -> bool:
+        """Whether a series of delay reports starts with this value: two that may be delays came one interval
+        apart, on any two connections. The first of the two has already been taken for a load."""
+        if value > min(MAX_DELAY_GROWTH_MS, CROSS_CONNECTION_LOAD_FRACTION * expected_load):
             return False
-        small = self._get(server, now).small
-        begins = any(abs(now - at - EVERY) <= CLOSE for at in small)
-        small.append(now)
-        return begins
-
-    def told(self, server: str, now: float, delay: float) -> None:
-        """The server has told its delay."""
-        seen = self._get(server, now)
-        seen.told, seen.delay = now, delay
-
-    def most(self, server: str, now: float) -> float:
-        """How long a delay the server may tell now, by what it told last."""
-        seen = self._get(server, now)
-        tellings = round((now - seen.told) / EVERY)
-        return seen.delay + GROWTH * max(1, tellings) if tellings <= MISSED else GROWTH
-
-    def due(self, server: str, now: float) -> bool:
-        """Whether a telling of the server is due now, the next or one after some that were missed."""
-        since = now - self._get(server, now).told
-        tellings = round(since / EVERY)
-        return 1 <= tellings <= MISSED and abs(since - tellings * EVERY) <= OFF
-
-    def tells(self, server: str, now: float) -> bool:
-        """Whether the server tells its delay itself at present."""
-        return now - self._get(server, now).told < TELLS
-
-    def _get(self, server: str, now: float) -> _Seen:
-        seen = self._seen.get(server)
-        if seen is None:
-            seen = self._seen[server] = _Seen(now)
-        return seen
+        small_values_at = self._record(server, now).small_values_at
+        starts_series = any(
+            abs(now - at - REPORT_INTERVAL_MS) <= CROSS_CONNECTION_TOLERANCE_MS for at in small_values_at
+        )
+        small_values_at.append(now)
+        return starts_series
+
+    def record_delay(self, server: str, now: float, delay: float) -> None:
+        """Record a delay that the server reported itself."""
+        record = self._record(server, now)
+        record.delay_reported_at, record.last_delay = now, delay
+
+    def max_delay(self, server: str, now: float) -> float:
+        """Return the longest delay that the server can have reached since its last report."""
+        record = self._record(server, now)
+        intervals = round((now - record.delay_reported_at) / REPORT_INTERVAL_MS)
+        return (
+            record.last_delay + MAX_DELAY_GROWTH_MS * max(1, intervals)
+            if intervals <= MAX_MISSED_REPORTS
+            else MAX_DELAY_GROWTH_MS
+        )
+
+    def is_delay_due(self, server: str, now: float) -> bool:
+        """Whether a delay report is due now: the next one, or a later one after some that were missed."""
+        elapsed = now - self._record(server, now).delay_reported_at
+        intervals = round(elapsed / REPORT_INTERVAL_MS)
+        return (
+            1 <= intervals <= MAX_MISSED_REPORTS
+            and abs(elapsed - intervals * REPORT_INTERVAL_MS) <= REPORT_TOLERANCE_MS
+        )
+
+    def reports_delay(self, server: str, now: float) -> bool:
+        """Whether the server reports its delay itself at present."""
+        return now - self._record(server, now).delay_reported_at < REPORTING_WINDOW_MS
+
+    def _record(self, server: str, now: float) -> _ServerRecord:
+        record = self._servers.get(server)
+        if record is None:
+            record = self._servers[server] = _ServerRecord(now)
+        return record
--- a/switchhub/net/line_socket.py
+++ b/switchhub/net/line_socket.py
@@ -1,8 +1,8 @@
-"""One socket and the bytes read from it that nobody has taken yet; the head of a connection.
+"""Line-based access to one non-blocking socket, the budget of open sockets, and a connection's first line.
 
-Owns: a socket (given back by `close`, and nowhere else) and one buffer of fixed size; the count of all open
-sockets, and which of them no request needs. Must never: grow a buffer, take a line that has not ended, change
-a byte of what passes through, or let those who say nothing hold what requests need.
+A `LineSocket` owns its socket, which only `close` releases, and one buffer of fixed size. It never grows the
+buffer, returns no unfinished line as whole and changes no byte that passes through. `SocketBudget` counts all
+open sockets and knows which of them no request needs, so that idle clients cannot take sockets from requests.
 """
 
 from __future__ import annotations
@@ -16,130 +16,146 @@
 from collections.abc import AsyncIterator
 from typing import NamedTuple, Protocol
 
-LINE_MAX = 4096
-RESERVED_DESCRIPTORS = (
-    32  # descriptors that are no connections: the log, the event loop, discovery, the listener
-)
-FOR_SERVERS = 0.9  # part of the sockets that requests and their servers may hold
-FOR_LOOSE = (
-    0.125  # part of the sockets over which those no request needs are given up, the longest silent first
-)
-PATIENCE, PATIENCE_AT_NEED = 0.25, 0.02  # seconds that each of them is given, and when sockets run out
-SPARE = 4  # sockets short of all at which they have run out
-_SINK = memoryview(bytearray(65536))  # what nobody wants to read goes here, whoever sent it
-_WORD = re.compile(r"[0-9A-Za-z._/-]{1,64}")  # an id, a key
-_LINGER_NONE = struct.pack("ii", 1, 0)
+LINE_MAX_BYTES = 4096
+# Descriptors that are not connections: the log, the event loop, discovery, the listening socket.
+RESERVED_DESCRIPTORS = 32
+SERVER_SOCKETS_FRACTION = 0.9  # part of the sockets that requests and their servers may use
+# Part of the sockets that may be idle; beyond it those that have been idle for longest are closed.
+IDLE_SOCKETS_FRACTION = 0.125
+IDLE_GRACE_S = 0.25  # how long a socket may always stay idle
+SCARCE_IDLE_GRACE_S = 0.02  # the same while sockets are scarce
+SPARE_SOCKETS = 4  # sockets are scarce when fewer than these are left
+_DISCARD_BUFFER = memoryview(bytearray(65536))  # shared target for bytes that are read and discarded
+_TOKEN = re.compile(r"[0-9A-Za-z._/-]{1,64}")  # a connection id or a key
+_LINGER_RESET = struct.pack("ii", 1, 0)
 _LF = 10
 _TCP_INFO = struct.Struct("8x44xI12xI28xI")  # linux/tcp.h: last_data_recv, rtt and total_retrans of tcp_info
-REPEATED = 1000.0  # milliseconds after which a hand-shake is repeated for the first time
+HANDSHAKE_RETRY_MS = 1000.0  # after this time the kernel repeats a TCP handshake for the first time
 
 
 class LineError(ValueError):
-    """A line that can't be taken: too long, or not of the form it should have."""
+    """A line that cannot be accepted: too long or malformed."""
 
 
 class SocketBudget:
-    """Counts the sockets that are open, and keeps what is allowed for requests.
+    """Counts open sockets and keeps enough of them for requests.
 
-    Loose sockets are those that no request needs: clients that have said nothing yet, and connections that
-    have ended but for the other side's end. Each waits in a time-out; giving it up brings that forward."""
+    Idle sockets are those that no request needs: clients that have not sent anything yet, and connections
+    that wait only for the other side to close. Each waits within a time-out; releasing an idle socket makes
+    that time-out expire early.
+
+    `open` is the number of open sockets."""
 
     def __init__(self, allowed: int) -> None:
         self._total = self._allowed = allowed - RESERVED_DESCRIPTORS
         self.open = 0
-        self._silent: dict[LineSocket, tuple[float, asyncio.Timeout]] = {}  # the longest silent first
-        self._ending: dict[LineSocket, tuple[float, asyncio.Timeout]] = {}
+        # In both: since when, and the time-out of the wait; the socket that has been idle for longest first.
+        self._silent_clients: dict[LineSocket, tuple[float, asyncio.Timeout]] = {}
+        self._ending_connections: dict[LineSocket, tuple[float, asyncio.Timeout]] = {}
 
     @property
-    def loose(self) -> int:
-        """How many sockets no request needs."""
-        return len(self._silent) + len(self._ending)
-
-    def to_server(self) -> LineSocket:
-        """A new socket for a server; `OSError` where only those for clients are left."""
-        self.relieve()
-        if self.open - self.loose >= self._allowed * FOR_SERVERS or self.out:
-            raise OSError(errno.EMFILE, "sockets are kept for clients")
+    def idle_count(self) -> int:
+        """The number of sockets that no request needs."""
+        return len(self._silent_clients) + len(self._ending_connections)
+
+    def open_to_server(self) -> LineSocket:
+        """Return a new socket for a server; raise `OSError` if the remaining ones are kept for clients."""
+        self.release_idle()
+        if self.open - self.idle_count >= self._allowed * SERVER_SOCKETS_FRACTION or self.exhausted:
+            raise OSError(errno.EMFILE, "the remaining sockets are kept for clients")
         return LineSocket(socket.socket(socket.AF_INET, socket.SOCK_STREAM), self)
 
-    def of_client(self, sock: socket.socket) -> LineSocket:
-        """An accepted socket."""
+    def add_client(self, sock: socket.socket) -> LineSocket:
+        """Wrap an accepted client socket."""
         return LineSocket(sock, self)
 
     def from_predecessor(self, sock: socket.socket, unread: bytes) -> LineSocket:
-        """A socket of a former process, and what was read there and not taken."""
-        wire = LineSocket(sock, self)
-        wire.put_back(unread)
-        return wire
-
-    def share(self, elsewhere: int) -> None:
-        """So many sockets are another process's: the limit is one for both."""
-        self._allowed = self._total - elsewhere
-
-    def loosen(self, wire: LineSocket, wait: asyncio.Timeout, ending: bool) -> None:
-        """No request needs this one; it waits for its other side in this time-out."""
-        (self._ending if ending else self._silent)[wire] = asyncio.get_running_loop().time(), wait
-
-    def settle(self, wire: LineSocket) -> None:
-        """It waits no more."""
-        self._silent.pop(wire, None)
-        self._ending.pop(wire, None)
-
-    def relieve(self) -> int:
-        """Give up loose sockets that are too many; how many. They close in the loop's next round."""
-        given_up = 0
+        """Wrap a socket handed over by a predecessor process, with the bytes that it read and did not use."""
+        line_socket = LineSocket(sock, self)
+        line_socket.restore_unread(unread)
+        return line_socket
+
+    def set_used_elsewhere(self, used_elsewhere: int) -> None:
+        """Set how many sockets another process of this balancer uses: the limit is shared by both."""
+        self._allowed = self._total - used_elsewhere
+
+    def register_idle(self, line_socket: LineSocket, timeout: asyncio.Timeout, ending: bool) -> None:
+        """Mark a socket as idle while it waits for its other side within this time-out."""
+        (self._ending_connections if ending else self._silent_clients)[line_socket] = (
+            asyncio.get_running_loop().time(),
+            timeout,
+        )
+
+    def unregister_idle(self, line_socket: LineSocket) -> None:
+        """Mark a socket as no longer idle."""
+        self._silent_clients.pop(line_socket, None)
+        self._ending_connections.pop(line_socket, None)
+
+    def release_idle(self) -> int:
+        """Release idle sockets that exceed the budget; return how many.
+
+        They are closed in the event loop's next iteration."""
+        released = 0
         loop = asyncio.get_running_loop()
         now = loop.time()
-        while (wire := self._too_many(now, self.open - given_up)) is not None:
-            _, wait = (self._silent if wire in self._silent else self._ending).pop(wire)
-            if not wait.expired():
-                # Danger: read from now on, and then cancelled, it would lose what was read.
-                loop.remove_reader(wire.sock)
-                wait.reschedule(now)
-                given_up += 1
-        return given_up
-
-    def _too_many(self, now: float, left: int) -> LineSocket | None:
-        """Which to give up next: the longest silent, then the longest ending."""
-        out = left > self._allowed - SPARE
-        if not out and self.loose <= self._allowed * FOR_LOOSE:
+        while (line_socket := self._next_to_release(now, self.open - released)) is not None:
+            _, timeout = (
+                self._silent_clients if line_socket in self._silent_clients else self._ending_connections
+            ).pop(line_socket)
+            if not timeout.expired():
+                # If it was read from now on and then cancelled, the bytes read would be lost.
+                loop.remove_reader(line_socket.sock)
+                timeout.reschedule(now)
+                released += 1
+        return released
+
+    def _next_to_release(self, now: float, open_count: int) -> LineSocket | None:
+        """Return the socket to release next: the client silent for longest, then the longest ending one."""
+        scarce = open_count > self._allowed - SPARE_SOCKETS
+        if not scarce and self.idle_count <= self._allowed * IDLE_SOCKETS_FRACTION:
             return None
-        least = PATIENCE_AT_NEED if out else PATIENCE
-        for waiting, patience in ((self._silent, PATIENCE), (self._ending, least), (self._silent, least)):
-            for wire, (since, _) in waiting.items():
-                if now - since >= patience:
-                    return wire
+        least_grace_s = SCARCE_IDLE_GRACE_S if scarce else IDLE_GRACE_S
+        for idle, grace_s in (
+            (self._silent_clients, IDLE_GRACE_S),
+            (self._ending_connections, least_grace_s),
+            (self._silent_clients, least_grace_s),
+        ):
+            for line_socket, (since, _) in idle.items():
+                if now - since >= grace_s:
+                    return line_socket
                 break
         return None
 
     @property
-    def out(self) -> bool:
-        """Whether another client can't be taken in."""
+    def exhausted(self) -> bool:
+        """Whether no further client can be accepted."""
         return self.open >= self._allowed + RESERVED_DESCRIPTORS // 2
 
 
-class Waiting(Protocol):
-    """Something whose task reads a socket, or accepts from it."""
+class SocketReader(Protocol):
+    """An object whose task reads from a socket or accepts connections from it."""
 
     sock: socket.socket
-    waits: bool  # the task does now, and nothing has come
+    awaiting_input: bool  # the task is waiting and nothing has arrived
 
 
-async def parked(reader: Waiting) -> bool:
-    """Read nothing more from this socket; whether its task still waits, and so may be cancelled.
+async def stop_reading(reader: SocketReader) -> bool:
+    """Stop reading from this socket; return whether its task still waits and can be cancelled safely.
 
-    Danger: a task cancelled after the loop read for it, but before it ran, loses what was read. One that was
-    given something runs in the next rounds of the loop and waits no longer."""
+    A task that is cancelled after the loop has read for it, but before it has run, loses what was read. A
+    task that was given something runs within the next iterations of the loop and then no longer waits."""
     asyncio.get_running_loop().remove_reader(reader.sock)
     for _ in range(2):
         await asyncio.sleep(0)
-    return reader.waits
+    return reader.awaiting_input
 
 
 class LineSocket:
-    """A non-blocking socket that speaks lines."""
+    """A non-blocking socket with a buffer of fixed size for reading lines.
+
+    Views returned by `first_line`, `whole_lines` and `unread` are valid until the next read."""
 
-    __slots__ = ("_buffer", "_end", "_sockets", "_start", "_view", "closed", "sock", "waits")
+    __slots__ = ("_buffer", "_end", "_sockets", "_start", "_view", "awaiting_input", "closed", "sock")
 
     def __init__(self, sock: socket.socket, sockets: SocketBudget) -> None:
         sock.setblocking(False)
@@ -149,39 +165,43 @@
         self._sockets = sockets
         sockets.open += 1
         self.closed = False
-        self.waits = False  # `fill` does, and nothing has come
-        self._buffer = bytearray(LINE_MAX)
+        self.awaiting_input = False  # `read_more` is waiting and nothing has arrived
+        self._buffer = bytearray(LINE_MAX_BYTES)
         self._view = memoryview(self._buffer)
         self._start = self._end = 0
 
-    async def fill(self) -> int:
-        """Read more; how many bytes came, 0 at the end. `LineError` if one line fills the buffer."""
+    async def read_more(self) -> int:
+        """Wait for more bytes; return their number, 0 at the end of the stream.
+
+        Raises `LineError` if one line fills the buffer."""
         if self._start == self._end:
             self._start = self._end = 0
-        elif self._end == LINE_MAX:
+        elif self._end == LINE_MAX_BYTES:
             if not self._start:
                 raise LineError("line too long")
             self._buffer[: self._end - self._start] = self._buffer[self._start : self._end]
             self._start, self._end = 0, self._end - self._start
-        self.waits = True
+        self.awaiting_input = True
         try:
             count = await asyncio.get_running_loop().sock_recv_into(self.sock, self._view[self._end :])
         finally:
-            self.waits = False
+            self.awaiting_input = False
         self._end += count
         return count
 
     def read_available(self) -> int:
-        """What has come already, without waiting; 0 if nothing has, or the end, which `fill` tells apart."""
+        """Read what has arrived, without waiting.
+
+        Returns 0 if nothing has arrived or the stream has ended; `read_more` tells these apart."""
         try:
-            count = self.sock.recv_into(self._view[self._end :]) if self._end < LINE_MAX else 0
+            count = self.sock.recv_into(self._view[self._end :]) if self._end < LINE_MAX_BYTES else 0
         except OSError:
             return 0
         self._end += count
         return count
 
-    def gone(self) -> bool:
-        """Whether the other side has ended it, with nothing left to read."""
+    def peer_closed(self) -> bool:
+        """Whether the other side has closed the connection and nothing is left to read in the kernel."""
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -189,12 +209,12 @@
         except OSError:
             return True
 
-    def spoke(self) -> bool:
-        """Whether something lies unread, here or in the kernel; an end does not count."""
-        return bool(len(self.rest()) or self.read_available())
+    def has_unread(self) -> bool:
+        """Whether unread bytes are here or in the kernel; the end of the stream does not count."""
+        return bool(len(self.unread()) or self.read_available())
 
-    def connected(self) -> bool:
-        """Whether the other side has accepted, as the kernel knows it."""
+    def is_connected(self) -> bool:
+        """Whether the kernel has established the connection."""
         try:
             self.sock.getpeername()
         except OSError:
@@ -202,48 +222,49 @@
         return True
 
     def receive_timing(self) -> tuple[float, float]:
-        """Milliseconds since its last byte came, in the kernel's steps, and that it was under way before that
-        at most; 0 where the kernel does not tell. To be asked with the first line.
+        """Return how long ago the last byte arrived and how long it was under way at most, in milliseconds.
 
-        The second is the hand-shake's round trip. Where the backlog was full the kernel dropped the client's
-        first bytes, they came again later, and that shows as a long round trip or a hand-shake repeated."""
+        Both are 0 if the kernel does not report them. The first is in steps of the kernel's clock and is
+        meant for the time when the first line is read. The second is the handshake's round trip. Where the
+        backlog was full, the kernel dropped the client's first bytes and they arrived later; that shows as a
+        long round trip or a repeated handshake."""
         try:
             info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
-            age, trip, repeated = _TCP_INFO.unpack(info)
+            age, round_trip, retransmits = _TCP_INFO.unpack(info)
         except (OSError, struct.error):
             return 0.0, 0.0
-        return float(age), REPEATED if repeated else trip / 1000
+        return float(age), HANDSHAKE_RETRY_MS if retransmits else round_trip / 1000
 
-    def line(self) -> memoryview | None:
-        """The first whole line, its end with it, or nothing yet."""
-        at = self._buffer.find(_LF, self._start, self._end)
-        return None if at < 0 else self._view[self._start : at + 1]
+    def next_line(self) -> memoryview | None:
+        """Return the first whole line with its line end, or None if it has not ended yet."""
+        newline = self._buffer.find(_LF, self._start, self._end)
+        return None if newline < 0 else self._view[self._start : newline + 1]
 
-    def lines(self) -> memoryview:
-        """All whole lines, perhaps none."""
+    def whole_lines(self) -> memoryview:
+        """Return all whole lines with their line ends; empty if there is none."""
         return self._view[self._start : self._buffer.rfind(_LF, self._start, self._end) + 1 or self._start]
 
-    def rest(self) -> memoryview:
-        """All that is unread, also half a line."""
+    def unread(self) -> memoryview:
+        """Return all unread bytes, including an unfinished line."""
         return self._view[self._start : self._end]
 
-    def put_back(self, unread: bytes) -> None:
-        """What was read elsewhere comes first."""
-        if len(unread) > LINE_MAX:
+    def restore_unread(self, unread: bytes) -> None:
+        """Put bytes that another process has read in front; raise `LineError` if they exceed the buffer."""
+        if len(unread) > LINE_MAX_BYTES:
             raise LineError("line too long")
         self._buffer[: len(unread)] = unread
         self._start, self._end = 0, len(unread)
 
-    def take(self, count: int) -> None:
-        """So many bytes are done with."""
+    def consume(self, count: int) -> None:
+        """Mark bytes as used, from the start of what is unread."""
         self._start += count
 
     async def send(self, data: memoryview | bytes) -> None:
-        """Write all of it."""
+        """Write all of the data, waiting as long as it takes."""
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     async def send_parts(self, parts: list[memoryview | bytes]) -> None:
-        """Write the parts as one, gathered; what the socket did not take at once follows."""
+        """Write the parts with one system call; wait for what the socket did not take at once."""
         try:
             sent = self.sock.sendmsg(parts)
         except BlockingIOError:
@@ -253,41 +274,43 @@
                 await self.send(part[sent:])
             sent = max(0, sent - len(part))
 
-    def say(self, data: bytes) -> bool:
-        """Write a short line at once; whether the socket took it all."""
+    def try_send(self, data: bytes) -> bool:
+        """Write a short line without waiting; return whether the socket took all of it."""
         try:
             return self.sock.send(data) == len(data)
         except OSError:
             return False
 
     def close(self, reset: bool = False) -> None:
-        """Give the socket back; with `reset`, the other side sees a reset."""
+        """Close the socket; with `reset`, the other side sees a connection reset."""
         if self.closed:
             return
         self.closed = True
-        self._sockets.settle(self)
+        self._sockets.unregister_idle(self)
         self._sockets.open -= 1
         if reset:
             with contextlib.suppress(OSError):
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self.sock.close()
 
     @contextlib.asynccontextmanager
-    async def loose(self, within: float, ending: bool) -> AsyncIterator[None]:
-        """A wait with no request behind it; `TimeoutError` after that time, or when sockets run short."""
-        async with asyncio.timeout(within) as wait:
-            self._sockets.loosen(self, wait, ending)
+    async def idle_timeout(self, timeout_s: float, ending: bool) -> AsyncIterator[None]:
+        """Mark the socket as idle while the block waits.
+
+        Raises `TimeoutError` after this time, or sooner if sockets run short."""
+        async with asyncio.timeout(timeout_s) as timeout:
+            self._sockets.register_idle(self, timeout, ending)
             try:
                 yield
             finally:
-                self._sockets.settle(self)
+                self._sockets.unregister_idle(self)
 
-    async def finish(self, within: float) -> None:
-        """End in order: what was written arrives, for the unread is read before the socket is given back."""
+    async def close_gracefully(self, timeout_s: float) -> None:
+        """Close in order: read and discard until the other side closes, so that what was written arrives."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            async with self.loose(within, ending=True):
-                while await asyncio.get_running_loop().sock_recv_into(self.sock, _SINK):
+            async with self.idle_timeout(timeout_s, ending=True):
+                while await asyncio.get_running_loop().sock_recv_into(self.sock, _DISCARD_BUFFER):
                     pass
         except (OSError, TimeoutError):
             pass
@@ -295,37 +318,41 @@
             self.close()
 
 
-class Head(NamedTuple):
-    """The first line of a connection, parsed where it lies."""
+class FirstLine(NamedTuple):
+    """A connection's first line, parsed."""
 
     id: str
     key: str
     values: dict[str, str]
-    before: bytes
-    after: bytes
-    """The line's text before and after the figure of `d`; without `d`, `before` is all of it."""
+    text_before_wait: bytes
+    text_after_wait: bytes
+    """The line's bytes before and after the value of `d`; without `d`, the first holds the whole line."""
 
 
-def parse_head(line: memoryview) -> Head:
-    """`OPEN ID KEY name=value,...`; `LineError` where it is none."""
+def parse_first_line(line: memoryview) -> FirstLine:
+    """Parse `OPEN ID KEY name=value,...`; raise `LineError` if the line has another form."""
     raw = line.tobytes()
     if not raw.endswith(b"\r\n"):
-        raise LineError("a line must end with CRLF")
+        raise LineError("line does not end with CRLF")
     try:
         parts = raw[:-2].decode("ascii").split(" ")
     except UnicodeDecodeError:
-        raise LineError("not ASCII") from None
-    if len(parts) != 4 or parts[0] != "OPEN" or not (_WORD.fullmatch(parts[1]) and _WORD.fullmatch(parts[2])):
-        raise LineError("not OPEN ID KEY VALUES")
+        raise LineError("line is not ASCII") from None
+    if (
+        len(parts) != 4
+        or parts[0] != "OPEN"
+        or not (_TOKEN.fullmatch(parts[1]) and _TOKEN.fullmatch(parts[2]))
+    ):
+        raise LineError("line is not of the form OPEN ID KEY VALUES")
     values: dict[str, str] = {}
-    at = len(raw) - 2 - len(parts[3])
-    cut = (len(raw), len(raw))
+    offset = len(raw) - 2 - len(parts[3])
+    wait_span = (len(raw), len(raw))
     for part in parts[3].split(","):
-        name, sep, value = part.partition("=")
-        if not name or not sep or name in values or not part.isprintable():
-            raise LineError(f"not name=value: {part[:40]!r}")
+        name, separator, value = part.partition("=")
+        if not name or not separator or name in values or not part.isprintable():
+            raise LineError(f"invalid or repeated name=value pair: {part[:40]!r}")
         values[name] = value
         if name == "d":
-            cut = (at + 2, at + len(part))
-        at += len(part) + 1
-    return Head(parts[1], parts[2], values, raw[: cut[0]], raw[cut[1] :])
+            wait_span = (offset + 2, offset + len(part))
+        offset += len(part) + 1
+    return FirstLine(parts[1], parts[2], values, raw[: wait_span[0]], raw[wait_span[1] :])
--- a/switchhub/net/listener.py
+++ b/switchhub/net/listener.py
@@ -1,8 +1,9 @@
-"""Accepts clients, keeps the sessions, carries out the module's chores, reloads, and stops in order.
+"""One balancer process: accepts clients, keeps their sessions, reloads the configuration and stops in order.
 
-Owns: the listening socket, every session's task, the sockets that are being ended. Must never: decide
-anything; leave a connection in the backlog; end a standing connection at a stop without telling its client to
-move.
+Owns the listening socket, the task of every session and the sockets that are being closed. It carries out
+what the decision module and the lifecycle decide, and decides nothing itself. No connection is left in the
+backlog when the listening socket closes, and no established connection ends at a stop without its client
+being told to move.
 """
 
 from __future__ import annotations
@@ -28,8 +29,8 @@
 from switchhub.net.counters import Counters
 from switchhub.net.discovery import Discovery
 from switchhub.net.health import ServerHealth
-from switchhub.net.line_socket import LineError, LineSocket, SocketBudget, parked, parse_head
-from switchhub.net.session import ANSWER_MARGIN_MS, FINISH_WITHIN, Session, final_answer, read_request
+from switchhub.net.line_socket import LineError, LineSocket, SocketBudget, parse_first_line, stop_reading
+from switchhub.net.session import ANSWER_MARGIN_MS, CLOSE_TIMEOUT_S, Session, final_answer, read_request
 
 if TYPE_CHECKING:
     from switchhub.handover.link import ProcessLink
@@ -37,100 +38,116 @@
     from switchhub.handover.sender import HandoverSender
     from switchhub.management.server import ManagementServer
 
-BACKLOG = 4096
-AT_ONCE, AT_NEED = 64, 256  # connections taken in before those that stand have their turn; while it is behind
-TURN = 0.002  # seconds after which one that may not accept yet looks again
-TICK = 0.02  # seconds between two looks at the module's chores
-CHECK = 0.1  # seconds between two looks at silent connections
-NO_DESCRIPTORS = 0.02  # seconds to wait when a connection can't be accepted
-CHOKED = 0.1  # seconds that one such failure counts
-LINGER = 0.45  # seconds after a stop's start in which new connections still come: the moved would come back
-STOP_DEADLINE_MAX_S, STOP_MARGIN_S = (
-    3.0,
-    0.3,
-)  # seconds: the longest deadline that a stop is given, and a bit more
-STOP_MOVE_BEGIN_FRACTION, STOP_MOVE_END_FRACTION = (
-    0.5,
-    0.92,
-)  # parts of the time given between which everybody is moved, evenly
-IDS_KEPT = 2048  # ids of ended connections that are remembered
-FIXED = ("name", "listen", "management", "sockets", "settings")  # what a reload leaves as it was at the start
-DRAIN_FROM, DRAIN_TO, DRAIN_MAX = 0.1, 3.5, 3.7  # seconds from a drain's call: moves begin, end, are forced
-LAST_ANSWERS = 0.1  # seconds in which what is still open is answered at the very end
+BACKLOG = 4096  # connections that the kernel queues until they are accepted
+ACCEPT_BATCH = 64  # connections accepted before established ones are served again
+OVERLOADED_ACCEPT_BATCH = 256  # the same while requests wait for admission
+ACCEPT_RECHECK_S = 0.002  # interval at which a process that may not accept yet checks again
+HOUSEKEEPING_INTERVAL_S = 0.02  # interval at which the decision module's pending actions are carried out
+SILENCE_CHECK_INTERVAL_S = 0.1  # interval at which silent connections are looked for
+ACCEPT_FAILURE_PAUSE_S = 0.02  # pause after a connection could not be accepted
+OUT_OF_DESCRIPTORS_S = 0.1  # how long after such a failure the process counts as out of descriptors
+# From the start of a stop: new connections keep coming, and a client moved in this time would come back here.
+STOP_ACCEPT_MIN_S = 0.45
+STOP_DEADLINE_MAX_S = 3.0  # longest client deadline that a stop waits for
+STOP_MARGIN_S = 0.3  # added to that deadline
+# Clients are moved evenly between these fractions of the stop's time.
+STOP_MOVE_BEGIN_FRACTION = 0.5
+STOP_MOVE_END_FRACTION = 0.92
+ENDED_IDS_KEPT = 2048  # ids of ended connections that are remembered
+RESTART_ONLY_FIELDS = (  # fields of the configuration that a reload does not change
+    "name",
+    "listen",
+    "management",
+    "sockets",
+    "settings",
+)
+# From the start of a drain:
+DRAIN_MOVES_BEGIN_S = 0.1  # clients are moved evenly from here
+DRAIN_MOVES_END_S = 3.5  # to here
+DRAIN_MOVES_FORCED_S = 3.7  # from here on, without waiting for writes that a client does not read
+FINAL_ANSWERS_S = 0.1  # time at the very end of a stop in which open requests are answered
 
 
 class ConnectionIds:
-    """The ids of connections that are open or were lately: each is good for one."""
+    """The ids of connections that are open or ended recently; each id is used for one connection only."""
 
     def __init__(self) -> None:
         self._open: set[str] = set()
-        self._ended: dict[str, None] = {}  # the oldest first
+        self._ended: dict[str, None] = {}  # oldest first
 
     def reserve(self, name: str) -> bool:
-        """Whether it is free; from now on it is not."""
+        """Reserve an id; return whether it was free."""
         if name in self._open or name in self._ended:
             return False
         self._open.add(name)
         return True
 
     def release(self, name: str) -> None:
-        """Its connection has ended; it is remembered for a while."""
+        """Mark the id's connection as ended; the id stays unavailable for a while."""
         self._open.discard(name)
         self._ended[name] = None
-        if len(self._ended) > IDS_KEPT:
+        if len(self._ended) > ENDED_IDS_KEPT:
             del self._ended[next(iter(self._ended))]
 
 
 class Listener:
-    """One balancer."""
+    """One balancer process.
+
+    `serving` is true once it listens and its tasks run. `awaiting_input` is true while its accept task waits
+    for a client."""
 
     def __init__(self, config: Config, handover_receiver: HandoverReceiver | None = None) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.counters = Counters()
-        self._zero = time.time() * 1000 - time.monotonic() * 1000
+        self._unix_offset_ms = time.time() * 1000 - time.monotonic() * 1000
         self.facade = Facade(config.settings, config.seed, self.clock())
         self.discovery = Discovery(config, self.facade, self.counters, self.clock)
         self.health = ServerHealth()
         self.lifecycle = Lifecycle()
-        self._pace: MovePacer | None = None  # of those that are given away now
-        self._forced = math.inf  # when nobody is waited for any more
+        self._move_pacer: MovePacer | None = None  # set while this process drains or stops
+        self._moves_forced_at = math.inf  # loop time after which moves do not wait for pending writes
         self._management: ManagementServer | None = None
         self._handover_receiver = handover_receiver
         self._handover_sender: HandoverSender | None = None
-        self.pages: dict[str, Callable[[str, str], tuple[int, str]]] = {}  # further ones, for staff
-        self.links: list[ProcessLink] = []  # the pairs with other processes of this balancer
-        room = 0
-        if config.management is not None:  # not imported where it is not wanted
+        self.pages: dict[str, Callable[[str, str], tuple[int, str]]] = {}  # further management paths
+        self.links: list[ProcessLink] = []  # links to other processes of this balancer
+        reserved_descriptors = 0
+        if config.management is not None:  # otherwise nothing of it is imported
             from switchhub.handover import sender
             from switchhub.management import server
 
-            room = server.RESERVED_DESCRIPTORS + sender.RESERVED_DESCRIPTORS
+            reserved_descriptors = server.RESERVED_DESCRIPTORS + sender.RESERVED_DESCRIPTORS
             self._management = server.ManagementServer(self, config.management)
             path = sender.socket_path(os.environ.get("TMPDIR", ""), config.name)
             self._handover_sender = sender.HandoverSender(self, path) if path else None
-        self.sockets = SocketBudget(config.sockets - room)
+        self.sockets = SocketBudget(config.sockets - reserved_descriptors)
         self.sessions: dict[str, Session] = {}
         self.ids = ConnectionIds()
-        self.gate = AdmissionController()
-        self._turns: deque[asyncio.Future[bool]] = deque()  # requests that wait for their turn, in order
-        self._latest: list[tuple[float, int, asyncio.Future[bool]]] = []  # the same, by when they must start
-        self._count = 0
+        self.admission = AdmissionController()
+        # One future for each request that waits for its set-up, in order of arrival; it is set to whether the
+        # set-up may start.
+        self._setup_queue: deque[asyncio.Future[bool]] = deque()
+        # The same requests as a heap: latest start, number, future.
+        self._setup_deadlines: list[tuple[float, int, asyncio.Future[bool]]] = []
+        self._setup_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._stopping = asyncio.Event()
-        shared = None if handover_receiver is None else handover_receiver.listening_socket
-        self.sock = self._bound() if shared is None else shared
-        self.serving = False  # it listens, and its loops run
-        self.waits = False  # for a client to accept
-        self._choked = -math.inf  # when one could not be accepted last
+        inherited_socket = None if handover_receiver is None else handover_receiver.listening_socket
+        self.sock = self._bind() if inherited_socket is None else inherited_socket
+        self.serving = False
+        self.awaiting_input = False
+        self._accept_failed_at = -math.inf  # time of the last failure to accept, by the monotonic clock
         self._accept_task: asyncio.Task[None] | None = None
-        self._closed = False  # the clients' address is not this process's any more
+        self._address_released = False  # this process has closed the clients' address
         self._accepting = asyncio.Event()
         self._accepting.set()
 
-    def _bound(self) -> socket.socket:
-        """The clients' address. Where staff upgrade, another process may have it too: an old one that can't
-        hand it over, or a new one."""
+    def _bind(self) -> socket.socket:
+        """Bind the clients' address; raise `ConfigError` if it is not available.
+
+        With management, another process of this balancer may have bound it too: an older one that cannot hand
+        it over, or a newer one."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if self.config.management is not None:
@@ -140,117 +157,127 @@
             sock.bind(self.config.listen)
         except (OSError, OverflowError) as error:
             host, port = self.config.listen
-            raise ConfigError(f"listen={host}:{port}: expected an address that is free: {error}") from None
+            raise ConfigError(f"listen={host}:{port}: expected an available address: {error}") from None
         return sock
 
     def address(self) -> Address:
-        """Where clients connect."""
+        """Return the address that clients connect to."""
         host, port = self.sock.getsockname()
         return host, port
 
     def clock(self) -> float:
-        """Unix time in milliseconds that never runs backward."""
-        return time.monotonic() * 1000 + self._zero
+        """Return Unix time in milliseconds; it never runs backward."""
+        return time.monotonic() * 1000 + self._unix_offset_ms
 
     def stop(self) -> None:
-        """Begin to stop."""
+        """Begin to stop; `run` returns when the stop is complete."""
         self.lifecycle.stop()
         self._stopping.set()
 
-    # What the operators' staff ask (`management.endpoints`).
+    # Requests of operators (`management.endpoints`).
 
     def healthy(self) -> bool:
         """Whether this process is ready to serve."""
         return self.lifecycle.healthy
 
     def phase_name(self) -> str:
-        """What it is, in a word or two."""
+        """Return the phase of this process in a few words."""
         return self.lifecycle.phase.value
 
     def metrics(self) -> str:
-        """The figures, in the operators' form."""
-        from switchhub.management.metrics import format_metrics  # imported with the calls
+        """Return the metrics in the text form of `/stats`."""
+        from switchhub.management.metrics import format_metrics  # imported only where management is used
 
         counters, targets = self.counters, self.facade.server_counts(self.clock())
         dispatches = counters.get("dispatches")
         return format_metrics(self.config.classes, counters.answers, dispatches, len(self.sessions), *targets)
 
     def drain(self) -> None:
-        """Turn new clients away and move those that stand; a second call changes nothing."""
+        """Report as unhealthy, so that new clients go elsewhere, and move the established ones.
+
+        A second call does nothing."""
         if self.lifecycle.drain():
             now = self.loop.time()
-            self._pace, self._forced = MovePacer(now + DRAIN_FROM, now + DRAIN_TO), now + DRAIN_MAX
+            self._move_pacer, self._moves_forced_at = (
+                MovePacer(now + DRAIN_MOVES_BEGIN_S, now + DRAIN_MOVES_END_S),
+                now + DRAIN_MOVES_FORCED_S,
+            )
             self.counters.add("drains")
             self.facade.drain_started(self.clock())
             logger.info("draining with {} sessions", len(self.sessions))
 
     def restore(self) -> bool:
-        """Back to work, and no further moves; whether that can be."""
+        """End a drain and its moves; return False if the phase does not allow it."""
         if not self.lifecycle.restore():
             return False
-        if self._pace is not None:
-            self._pace, self._forced = None, math.inf
+        if self._move_pacer is not None:
+            self._move_pacer, self._moves_forced_at = None, math.inf
             self.facade.drain_ended(self.clock())
-            logger.info("back to work with {} sessions", len(self.sessions))
+            logger.info("drain ended, serving again with {} sessions", len(self.sessions))
         return True
 
     def reload(self) -> None:
-        """Read the configuration again; one that does not serve changes nothing. No connection notices."""
+        """Read the configuration again and switch to its discovery address.
+
+        An unusable configuration changes nothing. Connections are not affected."""
         try:
-            told = read_config(os.environ)
+            new_config = read_config(os.environ)
         except ConfigError as error:
             logger.warning("reload: the old configuration stays: {}", error)
             self.counters.add("reloads.failed")
             return
-        fixed = [name for name in FIXED if getattr(told, name) != getattr(self.config, name)]
-        if fixed:
-            logger.warning("reload: these change at a restart only: {}", ", ".join(fixed))
-        self.config = self.config._replace(discovery=told.discovery)
-        self.discovery.move(told.discovery)
+        ignored_fields = [
+            name for name in RESTART_ONLY_FIELDS if getattr(new_config, name) != getattr(self.config, name)
+        ]
+        if ignored_fields:
+            logger.warning("reload: these change at a restart only: {}", ", ".join(ignored_fields))
+        self.config = self.config._replace(discovery=new_config.discovery)
+        self.discovery.change_address(new_config.discovery)
         self.counters.add("reloads")
-        logger.info("reload: discovery at {}:{}", *told.discovery)
+        logger.info("reload: discovery at {}:{}", *new_config.discovery)
 
     async def run(self) -> None:
-        """Serve until stopped."""
+        """Serve until `stop` is called and the stop is complete."""
         if self._handover_receiver is not None:
             await self._handover_receiver.take_over(self)
-        self._chores()
+        self._run_pending_actions()
         self.sock.listen(BACKLOG)
         if self._handover_receiver is not None and self._handover_receiver.listening_socket is None:
             from switchhub.handover.socket_recovery import direct_new_connections
 
             direct_new_connections(self.sock)
         logger.info("{} listens on {}:{}", self.config.name, *self.address())
-        duties = [self._take_in_all(), self._keep_house(), self.discovery.run()]
+        services = [self._run_accepting(), self._run_housekeeping(), self.discovery.run()]
         if self._management is not None:
-            duties.append(self._management.run())
-        aside = [
-            each
-            for each in (
+            services.append(self._management.run())
+        handover_work = [
+            work
+            for work in (
                 self._handover_receiver and self._handover_receiver.run(),
                 self._handover_sender and self._handover_sender.run(),
             )
-            if each
+            if work
         ]
         self.lifecycle.begin()
         self.serving = True
-        loops = [asyncio.create_task(each) for each in duties]
-        others = [asyncio.create_task(each) for each in aside]  # these may end by themselves
+        service_tasks = [asyncio.create_task(work) for work in services]
+        # Unlike the services, these may end before the stop.
+        handover_tasks = [asyncio.create_task(work) for work in handover_work]
         stopping = asyncio.create_task(self._stopping.wait())
         try:
-            done, _ = await asyncio.wait((*loops, stopping), return_when=asyncio.FIRST_COMPLETED)
-            for task in done - {stopping}:  # none of these ends by itself
+            done, _ = await asyncio.wait((*service_tasks, stopping), return_when=asyncio.FIRST_COMPLETED)
+            for task in done - {stopping}:  # a service that ended has failed
                 task.result()
-            await self._stop()
+            await self._finish_sessions()
         finally:
             self.sock.close()
-            for task in (*loops, *others, stopping):
+            for task in (*service_tasks, *handover_tasks, stopping):
                 task.cancel()
-            await asyncio.wait((*loops, *others, stopping))
+            await asyncio.wait((*service_tasks, *handover_tasks, stopping))
             logger.info("counters {}", self.counters.summary())
 
-    async def _take_in_all(self) -> None:
-        """Accept, but while a new process does."""
+    async def _run_accepting(self) -> None:
+        """Run the accept task whenever this process may accept."""
         while True:
             await self._accepting.wait()
             self._accept_task = asyncio.create_task(self._accept())
@@ -261,65 +288,71 @@
             if not self._accept_task.cancelled():
                 self._accept_task.result()
 
-    async def pause_accept(self) -> None:
-        """Accept nobody any more; whom the loop has accepted is taken in."""
+    async def pause_accepting(self) -> None:
+        """Stop accepting; connections that the event loop has already accepted still get a session."""
         self._accepting.clear()
-        if await parked(self) and self._accept_task is not None:
+        if await stop_reading(self) and self._accept_task is not None:
             self._accept_task.cancel()
 
-    # The pairs with other processes of this balancer (`handover.link`).
+    # Links to other processes of this balancer (`handover.link`).
 
     def add_link(self, link: ProcessLink) -> None:
-        """Another process of this balancer, that is older or newer."""
+        """Add the link to an older or newer process of this balancer."""
         self.links.append(link)
 
     def remove_link(self, link: ProcessLink) -> None:
-        """It has gone."""
+        """Remove the link to a process that has ended."""
         if link in self.links:
             self.links.remove(link)
             self.apply_handover_state()
 
     @property
     def accepts(self) -> bool:
-        """Whether the right to accept is this process's, as far as each pair goes."""
+        """Whether all links allow this process to accept."""
         return all(each.accepts for each in self.links)
 
     @property
     def out_of_descriptors(self) -> bool:
-        """Whether nobody can be accepted here, for want of descriptors."""
-        return self.sockets.out or time.monotonic() - self._choked < CHOKED
+        """Whether no client can be accepted for lack of descriptors."""
+        return self.sockets.exhausted or time.monotonic() - self._accept_failed_at < OUT_OF_DESCRIPTORS_S
 
     @property
     def holds_accept_right(self) -> bool:
-        """Whether it is this process's, and not only until another has said that it accepts."""
+        """Whether this process holds the accept right on all links.
+
+        One that has passed the right on may still accept until the other confirms that it does."""
         return all(each.holds_right for each in self.links)
 
     def apply_handover_state(self) -> None:
-        """What this process is and whether it accepts, as the pairs have it: here and nowhere else."""
+        """Set the phase and start or stop accepting as the links say; nothing else does so for a handover."""
         yielded = any(each.yielded for each in self.links)
         if yielded and self.lifecycle.phase in (Phase.READY, Phase.DRAINING):
             self.lifecycle.supersede()
         elif not yielded and self.lifecycle.phase is Phase.SUPERSEDED:
             self.lifecycle.reinstate()
-            logger.warning("no new process serves, {} again", self.phase_name())
-        if self._closed or self.accepts is self._accepting.is_set():
+            logger.warning(
+                "no successor process serves any more; this process is {} again", self.phase_name()
+            )
+        if self._address_released or self.accepts is self._accepting.is_set():
             return
         if self.accepts:
             self._accepting.set()
         else:
             self._accepting.clear()
-            self._start(self.pause_accept())
+            self._start_task(self.pause_accepting())
 
     def update_socket_budget(self) -> None:
-        """The limit on descriptors is one for all processes of a balancer."""
-        self.sockets.share(2 * sum(each.remote_connections for each in self.links))
+        """Adjust the socket budget: all processes of a balancer share one limit on descriptors.
+
+        A connection uses two sockets."""
+        self.sockets.set_used_elsewhere(2 * sum(each.remote_connections for each in self.links))
 
     def accept_queue_id(self) -> int:
-        """Which accept queue this process has: the same number in each process that shares it."""
+        """Return the inode of the listening socket: the same in each process that shares the accept queue."""
         return os.fstat(self.sock.fileno()).st_ino
 
-    async def _readable(self) -> None:
-        """Wait until a client may be there."""
+    async def _wait_until_readable(self) -> None:
+        """Wait until a client may be in the accept queue."""
         ready = asyncio.Event()
         self.loop.add_reader(self.sock, ready.set)
         try:
@@ -328,250 +361,273 @@
             if self.sock.fileno() >= 0:
                 self.loop.remove_reader(self.sock)
 
-    async def _next_client(self) -> socket.socket:
-        """The next one, beside another process: after a look at whether this one still may."""
-        await self._readable()
+    async def _accept_beside_linked(self) -> socket.socket:
+        """Accept the next client while another process may accept too, after checking the accept right."""
+        await self._wait_until_readable()
         while not all(each.may_accept() for each in self.links):
-            await asyncio.sleep(TURN)
+            await asyncio.sleep(ACCEPT_RECHECK_S)
         return self.sock.accept()[0]
 
     async def _accept(self) -> None:
         while self._accepting.is_set():
             try:
-                self.waits = True
+                self.awaiting_input = True
                 if self.links:
-                    sock = await self._next_client()
+                    sock = await self._accept_beside_linked()
                 else:
                     sock, _ = await self.loop.sock_accept(self.sock)
-                self.waits = False
-                for _ in range((AT_NEED if self.gate.waiting else AT_ONCE) - 1):
-                    self._take_in(sock)
-                    if self.sockets.out:
+                self.awaiting_input = False
+                for _ in range((OVERLOADED_ACCEPT_BATCH if self.admission.waiting else ACCEPT_BATCH) - 1):
+                    self._start_session(sock)
+                    if self.sockets.exhausted:
                         break
                     sock, _ = self.sock.accept()
                 else:
-                    self._take_in(sock)
+                    self._start_session(sock)
             except BlockingIOError:  # the backlog is empty
                 pass
-            except OSError as error:  # EMFILE, or gone again
-                logger.warning("accept: {}", error)
+            except OSError as error:  # out of descriptors, or the client has left
+                logger.warning("accept failed, retrying shortly: {}", error)
                 self.counters.add("accept.failed")
-                self._choked = time.monotonic()
-                self.sockets.relieve()
-                await asyncio.sleep(NO_DESCRIPTORS)
+                self._accept_failed_at = time.monotonic()
+                self.sockets.release_idle()
+                await asyncio.sleep(ACCEPT_FAILURE_PAUSE_S)
                 continue
-            given_up = self.sockets.relieve()
-            if given_up:
-                self.counters.add("clients.given_up", given_up)
-            while self.sockets.out:  # the backlog holds the rest until something closes
+            released = self.sockets.release_idle()
+            if released:
+                self.counters.add("clients.given_up", released)
+            while self.sockets.exhausted:  # further clients stay in the backlog until a socket closes
                 self.counters.add("accept.waits")
-                self.sockets.relieve()
-                await asyncio.sleep(NO_DESCRIPTORS)
+                self.sockets.release_idle()
+                await asyncio.sleep(ACCEPT_FAILURE_PAUSE_S)
 
-    def _take_in(self, sock: socket.socket) -> None:
+    def _start_session(self, sock: socket.socket) -> None:
         self.counters.add("accepted")
-        wire = self.sockets.of_client(sock)
-        if not self._refused_at_once(wire):
-            self._start(Session(self, wire).run())
-
-    def _refused_at_once(self, wire: LineSocket) -> bool:
-        """Refuse, without a session, a request that is here whole and can't be in time.
-
-        Danger: a session costs several times a refusal, and makes those late that could be served. Whatever
-        else is the matter with a request, its session finds."""
-        if not wire.read_available() or (line := wire.line()) is None or len(line) != len(wire.rest()):
+        client = self.sockets.add_client(sock)
+        if not self._refuse_without_session(client):
+            self._start_task(Session(self, client).run())
+
+    def _refuse_without_session(self, client: LineSocket) -> bool:
+        """Refuse a request without a session if it has arrived in full and cannot be set up in time.
+
+        Returns whether the request was refused. A session costs several times as much as a refusal and would
+        delay requests that can still be served. All other defects of a request are left to its session."""
+        if (
+            not client.read_available()
+            or (line := client.next_line()) is None
+            or len(line) != len(client.unread())
+        ):
             return False
         now = self.clock()
-        age, trip = wire.receive_timing()
-        if self.gate.can_start_now(now, age):
+        age, round_trip = client.receive_timing()
+        if self.admission.can_start_now(now, age):
             return False
         try:
-            head = parse_head(line)
-            request = read_request(head, self.config)
+            first_line = parse_first_line(line)
+            request = read_request(first_line, self.config)
         except LineError:
             return False
-        wait = request.budget + ANSWER_MARGIN_MS - trip
-        if "at" in head.values or not self.gate.would_be_late(age, wait) or not self.ids.reserve(request.id):
+        wait = request.budget + ANSWER_MARGIN_MS - round_trip
+        if (
+            "at" in first_line.values
+            or not self.admission.would_be_late(age, wait)
+            or not self.ids.reserve(request.id)
+        ):
             return False
         self.counters.add("requests.taken")
         self.counters.add("requests.late")
         pick = self.facade.pick(now, request._replace(late=True))
         assert not isinstance(pick, Send)
-        name, answer = final_answer(pick)
-        self.counters.count_answer(head.values["c"], name)
-        if not wire.say(answer):
+        outcome, answer = final_answer(pick)
+        self.counters.count_answer(first_line.values["c"], outcome)
+        if not client.try_send(answer):
             self.counters.add("answers.undelivered")
         self.ids.release(request.id)
-        wire.close()
+        client.close()
         return True
 
-    async def turn(self, latest: float) -> bool:
-        """Wait until it is this request's turn to be set up; whether it came by then."""
-        if not self._turns:
-            self._start(self._give_turns())
-        turn: asyncio.Future[bool] = self.loop.create_future()
-        self._turns.append(turn)
-        self._count += 1
-        heapq.heappush(self._latest, (latest, self._count, turn))
-        self.gate.waiting += 1
+    async def wait_for_setup_turn(self, latest_start: float) -> bool:
+        """Wait for this request's turn to be set up; return False if `latest_start` passed before that."""
+        if not self._setup_queue:
+            self._start_task(self._release_setups())
+        may_start: asyncio.Future[bool] = self.loop.create_future()
+        self._setup_queue.append(may_start)
+        self._setup_count += 1
+        heapq.heappush(self._setup_deadlines, (latest_start, self._setup_count, may_start))
+        self.admission.waiting += 1
         try:
-            return await turn
+            return await may_start
         finally:
-            self.gate.waiting -= 1
+            self.admission.waiting -= 1
+
+    async def _release_setups(self) -> None:
+        """Let waiting requests start in order, a few in each iteration of the event loop.
 
-    async def _give_turns(self) -> None:
-        """In order, a few in each turn of the loop; whose time is over is told so at once, out of order."""
-        while self._turns:
-            await asyncio.sleep(0)  # what is under way goes first
+        Requests past their latest start are notified at once, out of order."""
+        while self._setup_queue:
+            await asyncio.sleep(0)  # requests that are already being set up go first
             now = self.clock()
-            while self._latest and self._latest[0][0] < now:
-                turn = heapq.heappop(self._latest)[2]
-                if not turn.done():
-                    turn.set_result(False)
-            left = self.gate.next_batch(now)
-            while self._turns and (left or self._turns[0].done()):
-                turn = self._turns.popleft()
-                if not turn.done():
-                    turn.set_result(True)
-                    left -= 1
-        self._latest.clear()
-        self.gate.queue_emptied()
-
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+            while self._setup_deadlines and self._setup_deadlines[0][0] < now:
+                may_start = heapq.heappop(self._setup_deadlines)[2]
+                if not may_start.done():
+                    may_start.set_result(False)
+            remaining = self.admission.next_batch(now)
+            while self._setup_queue and (remaining or self._setup_queue[0].done()):
+                may_start = self._setup_queue.popleft()
+                if not may_start.done():
+                    may_start.set_result(True)
+                    remaining -= 1
+        self._setup_deadlines.clear()
+        self.admission.queue_emptied()
+
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_ended(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.counters.add("errors")
-            logger.opt(exception=task.exception()).error("a session broke")
+            logger.opt(exception=task.exception()).error("session task failed")
 
     def resume_session(self, session: Session) -> None:
-        """Serve a connection that a former process has passed on."""
+        """Serve a connection that a predecessor process has handed over."""
         self.sessions[session.id] = session
         self.counters.add("sessions.taken_over")
-        self._start(session.go_on())
+        self._start_task(session.run_resumed())
 
-    async def _empty_queue(self) -> None:
-        """Take in whom the kernel has accepted and close the clients' address.
+    async def _accept_backlog_and_close(self) -> None:
+        """Accept all clients in the backlog and close the clients' address.
 
-        Danger: what lies unaccepted when it closes is reset. And where a new process shares it without a
-        hand-over, the kernel goes on giving this one half of the new clients."""
-        if self._closed:
+        Clients left in the backlog when the address closes are reset. And where a new process shares the
+        address without a handover, the kernel would go on giving half of the new clients to this one."""
+        if self._address_released:
             return
-        self._closed = True
-        await self.pause_accept()
+        self._address_released = True
+        await self.pause_accepting()
         with contextlib.suppress(OSError):
             while True:
-                self._take_in(self.sock.accept()[0])
+                self._start_session(self.sock.accept()[0])
         self.sock.close()
 
     def duplicate_listening_socket(self) -> socket.socket:
-        """The clients' address, for a new process."""
+        """Return a duplicate of the listening socket for a successor process."""
         return self.sock.dup()
 
-    def give_back(self, wire: LineSocket, reset: bool) -> None:
-        """End a socket: at once with a reset, or in order."""
+    def close_socket(self, line_socket: LineSocket, reset: bool) -> None:
+        """Close a socket: at once with a reset, or gracefully in a task of its own."""
         if reset:
-            wire.close(reset=True)
-        elif not wire.closed:
-            self._start(wire.finish(FINISH_WITHIN))
+            line_socket.close(reset=True)
+        elif not line_socket.closed:
+            self._start_task(line_socket.close_gracefully(CLOSE_TIMEOUT_S))
 
-    async def _keep_house(self) -> None:
-        checked = self.loop.time()
+    async def _run_housekeeping(self) -> None:
+        last_check = self.loop.time()
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             try:
-                self._chores()
-                self._give_away()
-                if self.loop.time() - checked >= CHECK:
-                    checked = self.loop.time()
-                    self._check(self.clock())
-            except Exception:  # a defect of ours; the connections that stand are worth more
+                self._run_pending_actions()
+                self._move_due_sessions()
+                if self.loop.time() - last_check >= SILENCE_CHECK_INTERVAL_S:
+                    last_check = self.loop.time()
+                    self._check_silence(self.clock())
+            except Exception:  # a programming error here must not end the established connections
                 self.counters.add("errors")
-                logger.exception("housekeeping broke")
+                logger.exception("housekeeping failed")
 
-    def _check(self, now: float) -> None:
-        """End what a silent server or a vanished client has left behind."""
-        waiting: dict[str, list[float]] = {}
+    def _check_silence(self, now: float) -> None:
+        """End connections whose server is silent or whose client has vanished."""
+        waits_by_server: dict[str, list[float]] = {}
         for session in self.sessions.values():
-            waits = session.waits(now)
-            if waits:
-                waiting.setdefault(session.current_server, []).append(waits)
-        silent = {
+            line_wait = session.longest_wait(now)
+            if line_wait:
+                waits_by_server.setdefault(session.current_server, []).append(line_wait)
+        silent_servers = {
             server
-            for server, waits in waiting.items()
-            if self.health.is_silent(server, len(waits), max(waits), now)
+            for server, line_waits in waits_by_server.items()
+            if self.health.is_silent(server, len(line_waits), max(line_waits), now)
         }
         for session in list(self.sessions.values()):
-            session.check(now, session.current_server in silent)
+            session.check_silence(now, session.current_server in silent_servers)
 
-    def _chores(self) -> None:
-        chores = self.facade.tick(self.clock())
-        for text in chores.notes:
-            logger.info("module: {}", text)
-        for request in chores.moves:
+    def _run_pending_actions(self) -> None:
+        actions = self.facade.tick(self.clock())
+        for note in actions.notes:
+            logger.info("decision module: {}", note)
+        for request in actions.moves:
             session = self.sessions.get(request)
             if session is not None:
                 self.counters.add("moves.asked")
                 session.move()
             else:
                 any(each.move(request) for each in self.links)
-        if chores.watch:
-            self.discovery.ask()
+        if actions.watch:
+            self.discovery.request_watch()
 
-    def _give_away(self) -> None:
-        """Move those whose turn it is, while this process drains or stops."""
-        if self._pace is None:
+    def _move_due_sessions(self) -> None:
+        """Move the connections that are due, while this process drains or stops."""
+        if self._move_pacer is None:
             return
         now = self.loop.time()
-        standing = [session for session in self.sessions.values() if session.established]
-        for session in standing[: self._pace.due(now, len(standing))]:
-            session.move(at_once=now >= self._forced)
+        established_sessions = [session for session in self.sessions.values() if session.established]
+        for session in established_sessions[: self._move_pacer.due(now, len(established_sessions))]:
+            session.move(at_once=now >= self._moves_forced_at)
 
-    async def _stop(self) -> None:
-        """Go on answering while connections still come, move everybody, wait for what is owed."""
+    async def _finish_sessions(self) -> None:
+        """Stop in order: accept while clients still come, move all connections, wait for pending answers."""
         logger.info("stopping with {} sessions", len(self.sessions))
-        longest = max((each.deadline for each in self.config.settings.classes), default=0.0) / 1000
-        given_time = min(longest, STOP_DEADLINE_MAX_S) + STOP_MARGIN_S
-        starts = self.loop.time()
-        ends = starts + given_time
-        linger = max(
-            LINGER, given_time * STOP_MOVE_BEGIN_FRACTION
-        )  # the later, the more of the others are back
-        # Danger: alone at its address it accepts as long as it has somebody; who finds it closed is lost.
-        lingers = starts + LINGER if self._handover_sender is None else math.inf
-        handover_sender, sent, given, asked = self._handover_sender, True, False, time.monotonic()
-        if self._pace is None:  # one that drains goes on as it does
-            self._pace = MovePacer(starts + linger, starts + given_time * STOP_MOVE_END_FRACTION)
-        while (now := self.loop.time()) < ends and (
-            self.sessions or self._tasks or not sent or not (given or self._closed or now >= lingers)
+        longest_deadline = max((each.deadline for each in self.config.settings.classes), default=0.0) / 1000
+        time_limit = min(longest_deadline, STOP_DEADLINE_MAX_S) + STOP_MARGIN_S
+        started = self.loop.time()
+        latest_end = started + time_limit
+        # The later the moves begin, the more of the other restarted balancers serve again.
+        moves_begin_after = max(STOP_ACCEPT_MIN_S, time_limit * STOP_MOVE_BEGIN_FRACTION)
+        # Without a handover sender this process is alone at its address and accepts for as long as it has
+        # connections: a client that finds the address closed is lost.
+        keeps_accepting_until = started + STOP_ACCEPT_MIN_S if self._handover_sender is None else math.inf
+        handover_sender, all_sent, successor_confirmed, stop_time = (
+            self._handover_sender,
+            True,
+            False,
+            time.monotonic(),
+        )
+        if self._move_pacer is None:  # a drain in progress keeps its own pace
+            self._move_pacer = MovePacer(
+                started + moves_begin_after, started + time_limit * STOP_MOVE_END_FRACTION
+            )
+        while (now := self.loop.time()) < latest_end and (
+            self.sessions
+            or self._tasks
+            or not all_sent
+            or not (successor_confirmed or self._address_released or now >= keeps_accepting_until)
         ):
             if handover_sender is not None:
                 await handover_sender.pass_on_all()
-                sent = handover_sender.all_sent()
+                all_sent = handover_sender.all_sent()
             successors = handover_sender.links if handover_sender is not None else []
-            given = any(
-                each.can_receive_connections and each.shares_queue and each.heartbeat_since(asked)
+            successor_confirmed = any(
+                each.can_receive_connections and each.shares_queue and each.heartbeat_since(stop_time)
                 for each in successors
             )
             if (
                 handover_sender is not None
-                and now >= starts + LINGER
+                and now >= started + STOP_ACCEPT_MIN_S
                 and not any(each.shares_queue for each in successors)
             ):
-                await self._empty_queue()
-            await asyncio.sleep(TICK)
-        if not given:
-            await self._empty_queue()
-        for _, _, turn in self._latest:
-            if not turn.done():
-                turn.set_result(False)
-        last = self.loop.time() + LAST_ANSWERS
-        while self._tasks and self.loop.time() < last:
-            for session in list(self.sessions.values()):  # also who was in the queue and is read only now
-                session.give_up()
-            await asyncio.wait(self._tasks, timeout=TICK, return_when=asyncio.FIRST_COMPLETED)
+                await self._accept_backlog_and_close()
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
+        if not successor_confirmed:
+            await self._accept_backlog_and_close()
+        for _, _, may_start in self._setup_deadlines:
+            if not may_start.done():
+                may_start.set_result(False)
+        answer_deadline = self.loop.time() + FINAL_ANSWERS_S
+        while self._tasks and self.loop.time() < answer_deadline:
+            # Includes requests from the backlog that are read only now.
+            for session in list(self.sessions.values()):
+                session.end_for_stop()
+            await asyncio.wait(
+                self._tasks, timeout=HOUSEKEEPING_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
+            )
         logger.info("stopped with {} sessions", len(self.sessions))
--- a/switchhub/net/session.py
+++ b/switchhub/net/session.py
@@ -1,8 +1,8 @@
-"""One client's connection, from its first line to its end.
+"""One client connection, from its first line to its end.
 
-Owns: the client's socket, the server's socket of the present attempt, and the tasks that read them; `run`
-gives all of them back, whatever happens. Must never: choose a server or an answer (the module does), answer
-twice, leave a request unanswered, send to a server that has begun to drain, or change a byte after `UP`.
+Owns the client's socket, the server socket of the current attempt and the tasks that read both; `run` always
+releases all of them. Servers and answers are chosen by the decision module. A session answers every request
+exactly once, sends nothing to a server that has begun to drain, and changes no byte after `UP`.
 """
 
 from __future__ import annotations
@@ -22,43 +22,46 @@
 from switchhub.decision.facade import Adopted, Delay, Ended, Left, Load, Pick, Refused, Send, Up
 from switchhub.decision.interface import Request, Result
 from switchhub.net.config import Config
-from switchhub.net.health import LoadLines
-from switchhub.net.line_socket import Head, LineError, LineSocket, parked, parse_head
+from switchhub.net.health import LoadLineClassifier
+from switchhub.net.line_socket import FirstLine, LineError, LineSocket, parse_first_line, stop_reading
 
 if TYPE_CHECKING:
     from switchhub.handover.messages import HeldConnection, PassedConnection
     from switchhub.net.listener import Listener
 
-ANSWER_MARGIN_MS = (
-    25.0  # milliseconds before the client's deadline at which its answer is ready at the latest
-)
-LAST = (
-    10.0  # milliseconds before it from which `UP` would come too late: the kernel counts ages in steps of 4
-)
-HEAD_WITHIN = 2.0  # seconds from its connecting in which a client's first line must be whole
-PINGS_MAX = 8  # that may come before it
-FINISH_WITHIN = 1.0  # seconds that an ended connection's other side has to end too
-# Milliseconds without an answer to a line after which a connection counts as silent. Danger: it has 7 s from
-# its last answer, and the next line, the first to miss one, comes up to 2 s after that; 1 s is to spare.
+ANSWER_MARGIN_MS = 25.0  # the answer must be ready this long before the client's deadline
+# `UP` would come too late in this time before the deadline; the kernel counts ages in steps of 4 ms.
+UP_MARGIN_MS = 10.0
+FIRST_LINE_TIMEOUT_S = 2.0  # time from the connection's start in which the first line must be complete
+PINGS_MAX = 8  # `PING` lines that may precede the first line
+CLOSE_TIMEOUT_S = 1.0  # time that the other side of an ended connection has to close too
+# Time without an answer to a line after which a connection counts as silent. A silent connection must be
+# moved within 7 s of its last answer. The first line that misses its answer comes up to 2 s after that; 1 s
+# is margin.
 SILENCE_TIMEOUT_MS = 7000.0 - 2000.0 - 1000.0
-SILENT_SERVER_TIMEOUT_MS = 250.0  # the same, while its server is silent to all
-VANISHED_AFTER = 60_000.0  # milliseconds without a line after which a client counts as vanished
-ADOPT_WITHIN, ADOPT_RETRY = 38.0, 0.5  # seconds for a connection of before the start to stand again
-WAIT_MAX, HINT_MAX = 1e7, 1e12  # a `d` or an `h` that no client can mean
-SHOWN = 100  # bytes of a malformed line that the log shows
-PART_WITHIN = 0.8  # seconds that what is being written has before a connection is moved, not passed on
-MESSAGES_KEPT = 16  # unanswered lines whose times are kept
-PARTING = {b"BYE": Result.OK, b"MOVE": Result.CANCELLED}  # a server's last words
-_FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?")
+SILENT_SERVER_TIMEOUT_MS = 250.0  # the same while the server is silent on all its connections
+CLIENT_IDLE_TIMEOUT_MS = 60_000.0  # time without a line after which a client counts as vanished
+ADOPTION_TIMEOUT_S = 38.0  # time in which a connection from before the start must be established again
+ADOPTION_RETRY_S = 0.5  # pause between two attempts at that
+WAIT_MAX_MS = 1e7  # largest `d` that a client can mean
+HINT_MAX = 1e12  # largest `h` that a client can mean
+LOGGED_BYTES_MAX = 100  # bytes of a malformed line that are logged
+# Time that pending writes have before a connection is moved instead of handed over.
+HANDOVER_WRITE_TIMEOUT_S = 0.8
+UNANSWERED_LINES_KEPT = 16  # unanswered lines whose times are kept
+FINAL_WORD_RESULTS = {b"BYE": Result.OK, b"MOVE": Result.CANCELLED}  # by the server's last line
+_DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?")
 _FLAGS = {"0": False, "1": True}
 FAILED = b"FAILED\r\n"
-ERR = b"ERR\r\n"  # to what is no request
+ERR = b"ERR\r\n"  # the answer to anything that is not a valid request
 MOVE = b"MOVE\r\n"
-PING, PONG, AWAY = b"PING\r\n", b"PONG\r\n", b"AWAY\r\n"  # whether new clients may be sent here
+PING = b"PING\r\n"  # asks whether new clients may connect here
+PONG = b"PONG\r\n"  # answer: they may
+AWAY = b"AWAY\r\n"  # answer: they may not
 
 
-class End(Enum):
-    """How a standing connection ended."""
+class EndReason(Enum):
+    """Why a connection ended; the values are names of counters."""
 
     CLIENT = "client"
     CLIENT_RESET = "client_reset"
@@ -71,140 +74,162 @@
     EARLY = "early"
 
 
-def _figure(text: str, most: float) -> float:
-    """A plain decimal figure; `float` alone would also take `1_0`, ` 1`, `1e3`, `-1` and `nan`."""
-    if not _FIGURE.fullmatch(text) or float(text) > most:
-        raise ValueError(f"not a figure: {text[:20]!r}")
+def _parse_decimal(text: str, maximum: float) -> float:
+    """Parse a plain decimal number; `float` alone would also accept `1_0`, ` 1`, `1e3`, `-1` and `nan`."""
+    if not _DECIMAL.fullmatch(text) or float(text) > maximum:
+        raise ValueError(f"not a decimal number in range: {text[:20]!r}")
     return float(text)
 
 
-def read_request(head: Head, config: Config) -> Request:
-    """The request of a first line; `LineError` where it names what the settings do not."""
-    values = head.values
+def read_request(first_line: FirstLine, config: Config) -> Request:
+    """Return the request of a first line; raise `LineError` if a value is missing, invalid or unknown."""
+    values = first_line.values
     try:
         tenant = config.tenants[values["t"]] if config.tenants else 0
-        index = config.classes[values["c"]]
-        wait = _figure(values["d"], WAIT_MAX)
-        hint = _figure(values["h"], HINT_MAX) if "h" in values else None
-        again, _ = _FLAGS[values.get("again", "0")], _FLAGS[values.get("r", "0")]
+        class_index = config.classes[values["c"]]
+        wait_ms = _parse_decimal(values["d"], WAIT_MAX_MS)
+        hint = _parse_decimal(values["h"], HINT_MAX) if "h" in values else None
+        returning, _ = _FLAGS[values.get("again", "0")], _FLAGS[values.get("r", "0")]
     except (KeyError, ValueError) as error:
         raise LineError(f"{type(error).__name__}: {error}") from None
-    return Request(head.id, index, wait - ANSWER_MARGIN_MS, tenant, hint, head.key, values.get("g"), again)
+    return Request(
+        first_line.id,
+        class_index,
+        wait_ms - ANSWER_MARGIN_MS,
+        tenant,
+        hint,
+        first_line.key,
+        values.get("g"),
+        returning,
+    )
 
 
 def final_answer(pick: Pick) -> tuple[str, bytes]:
-    """A pick that is no server: what it is counted as, and the line."""
+    """Return the outcome to count and the line to send for a pick that is not a server."""
     if not isinstance(pick, Refused):
         return "failed", FAILED
     wait = f" {pick.retry_after:.0f}" if pick.retry_after else ""
     return "refused", f"BUSY{wait}\r\n".encode()
 
 
-ENDED = {End.SERVER_RESET: Result.RESET, End.SILENT: Result.TIMEOUT}  # others are no fault of the server
+SERVER_FAULT_RESULTS = {  # all other reasons are no fault of the server
+    EndReason.SERVER_RESET: Result.RESET,
+    EndReason.SILENT: Result.TIMEOUT,
+}
 
 
 class Session:
-    """One client."""
+    """One client's request and its connection. Times are Unix time in milliseconds."""
 
     def __init__(self, listener: Listener, client: LineSocket) -> None:
-        self._node = listener
+        self._listener = listener
         self._counters = listener.counters
         self._clock: Callable[[], float] = listener.clock
         self.client = client
         self.server: LineSocket | None = None
-        self.id = self._class = ""
+        self.id = self._class_name = ""
         self._tenant = ""
         self.request: Request | None = None
-        self.current_server = ""  # the server of the present attempt
+        self.current_server = ""  # the server of the current attempt
         self.established = False
-        self.up_at = 0.0
-        self._heard = self._clock()  # when the client last sent something
-        self._arrived = self._deadline = 0.0  # when its first line's last byte came, when it gives up
-        self._asked: deque[float] = deque(maxlen=MESSAGES_KEPT)  # when lines went that wait for an answer
-        self._sending = self._move_asked = False
-        self._parting = False  # its tasks stop reading: it is passed on to a new process
-        self._reader: asyncio.Task[None] | None = None
-        self._down: asyncio.Task[None] | None = None
-        self._stands: asyncio.Future[None] = listener.loop.create_future()
-        self._done: asyncio.Future[End] = listener.loop.create_future()
-        self._loads = LoadLines(0.0)
-        self._last = b""
+        self.established_at = 0.0
+        self._client_active_at = self._clock()  # when the client last sent something
+        # When the last byte of the first line arrived, and when the client stops waiting for an answer.
+        self._arrived_at = self._deadline = 0.0
+        # When the lines were sent that wait for an answer.
+        self._unanswered_times: deque[float] = deque(maxlen=UNANSWERED_LINES_KEPT)
+        self._sending_to_client = self._move_requested = False
+        self._handing_over = False  # the tasks stop reading: the connection goes to a successor process
+        self._client_reader: asyncio.Task[None] | None = None
+        self._server_reader: asyncio.Task[None] | None = None
+        self._established_future: asyncio.Future[None] = listener.loop.create_future()
+        self._end_reason: asyncio.Future[EndReason] = listener.loop.create_future()
+        self._load_lines = LoadLineClassifier(0.0)
+        self._last_word = b""
 
     async def run(self) -> None:
-        """Serve this client to its end; everything is given back here."""
+        """Serve this client to the end of its connection and release all sockets."""
         reset = False
         try:
-            line = await self._first_line()
+            line = await self._read_first_line()
             if line is None:
                 return
-            age, trip = self.client.receive_timing()
-            self._arrived = self._clock() - age
-            head = parse_head(line)
-            request = read_request(head, self._node.config)
-            self._deadline = self._arrived + request.budget + ANSWER_MARGIN_MS - trip
-            if len(self.client.rest()) > len(line):
-                raise LineError("a client waits for its answer")
-            if not self._node.ids.reserve(request.id):
-                raise LineError("this id is taken")
-            self.client.take(len(line))
-            self.id, self._class, self._tenant = request.id, head.values["c"], head.values.get("t", "")
+            age, round_trip = self.client.receive_timing()
+            self._arrived_at = self._clock() - age
+            first_line = parse_first_line(line)
+            request = read_request(first_line, self._listener.config)
+            self._deadline = self._arrived_at + request.budget + ANSWER_MARGIN_MS - round_trip
+            if len(self.client.unread()) > len(line):
+                raise LineError("client sent more before its answer")
+            if not self._listener.ids.reserve(request.id):
+                raise LineError("connection id is in use or was used recently")
+            self.client.consume(len(line))
+            self.id, self._class_name, self._tenant = (
+                request.id,
+                first_line.values["c"],
+                first_line.values.get("t", ""),
+            )
             self.request = request
-            self._loads = LoadLines(request.hint or 0.0)
-            self._node.sessions[request.id] = self
+            self._load_lines = LoadLineClassifier(request.hint or 0.0)
+            self._listener.sessions[request.id] = self
             self._counters.add("requests.taken")
-            logger.debug("{} taken: key {} {}", head.id, head.key, head.values)
-            if "at" not in head.values:
-                request = await self._admitted(request)
-            self._reader = asyncio.create_task(self._from_client())
-            setting_up = self._adopt if "at" in head.values else self._set_up
-            if await setting_up(head, request):
-                self._counters.count_answer(self._class, "served")
+            logger.debug("{} taken: key {} {}", first_line.id, first_line.key, first_line.values)
+            if "at" not in first_line.values:
+                request = await self._await_admission(request)
+            self._client_reader = asyncio.create_task(self._relay_from_client())
+            set_up = self._adopt if "at" in first_line.values else self._set_up
+            if await set_up(first_line, request):
+                self._counters.count_answer(self._class_name, "served")
                 reset = await self._relay()
         except LineError as error:
-            logger.debug("malformed: {}: {}", error, self.client.rest()[:SHOWN].tobytes())
+            logger.debug(
+                "malformed request, answering ERR: {}: {}",
+                error,
+                self.client.unread()[:LOGGED_BYTES_MAX].tobytes(),
+            )
             self._counters.add("answers.malformed")
-            self.client.say(ERR)
+            self.client.try_send(ERR)
         except TimeoutError:
             self._counters.add("clients.silent")
-            if len(self.client.rest()):
-                self.client.say(ERR)
+            if len(self.client.unread()):
+                self.client.try_send(ERR)
             reset = True
         except OSError as error:
-            logger.debug("client lost: {}", error)
+            logger.debug("connection to the client lost: {}", error)
             self._counters.add("clients.lost")
             reset = True
         except Exception:
-            logger.exception("a session broke")
+            logger.exception("session failed")
             self._counters.add("errors")
-            if self.id and not self._stands.done():
+            if self.id and not self._established_future.done():
                 self._answer("failed", FAILED)
         finally:
-            self._give_back(reset)
+            self._release_sockets(reset)
 
-    def _give_back(self, reset: bool) -> None:
-        if self._reader is not None:
-            self._reader.cancel()
+    def _release_sockets(self, reset: bool) -> None:
+        if self._client_reader is not None:
+            self._client_reader.cancel()
         if self.id:
-            del self._node.sessions[self.id]
-            self._node.ids.release(self.id)
+            del self._listener.sessions[self.id]
+            self._listener.ids.release(self.id)
         if self.server is not None:
-            self._node.give_back(self.server, reset)
+            self._listener.close_socket(self.server, reset)
             self.server = None
-        self._node.give_back(self.client, reset)
+        self._listener.close_socket(self.client, reset)
 
-    # From one process of this balancer to the next.
+    # Handover from one process of this balancer to its successor.
 
     def handover_record(self) -> HeldConnection | None:
-        """What a new process counts of it; nothing before a server is chosen."""
+        """Return what a successor process counts of this connection; None until a server is chosen."""
         from switchhub.handover.messages import HeldConnection
 
         request = self.request
         if request is None or not self.current_server:
             return None
-        load = self._loads.load or 0.0
+        load = self._load_lines.load or 0.0
         return HeldConnection(
             self.id,
-            self._class,
+            self._class_name,
             self._tenant,
             request.key,
             request.group,
@@ -214,44 +239,46 @@
         )
 
     async def hand_over(self, send: Callable[[PassedConnection, socket.socket, socket.socket], bool]) -> None:
-        """Stop reading and send both sides to the new process. What is being written to a side that does not
-        take it can't be parted with: its client is moved."""
+        """Stop reading and send both sockets to the successor process.
+
+        A connection whose pending write is not accepted by its other side cannot be handed over: its client
+        is moved instead. `send` returns whether the successor takes the connection."""
         from switchhub.handover.messages import PassedConnection
 
         if (
             not self.established
-            or self._parting
-            or self._done.done()
-            or self._reader is None
-            or self._down is None
+            or self._handing_over
+            or self._end_reason.done()
+            or self._client_reader is None
+            or self._server_reader is None
         ):
             return
-        self._parting = True
+        self._handing_over = True
         client, server = self.client, cast(LineSocket, self.server)
-        for wire, task in ((client, self._reader), (server, self._down)):
-            if await parked(wire):
+        for line_socket, task in ((client, self._client_reader), (server, self._server_reader)):
+            if await stop_reading(line_socket):
                 task.cancel()
-        await asyncio.wait((self._reader, self._down), timeout=PART_WITHIN)
+        await asyncio.wait((self._client_reader, self._server_reader), timeout=HANDOVER_WRITE_TIMEOUT_S)
         held = self.handover_record()
-        if self._done.done() or held is None:
+        if self._end_reason.done() or held is None:
             return
-        if not (self._reader.done() and self._down.done()):
+        if not (self._client_reader.done() and self._server_reader.done()):
             return self.move(at_once=True)
         passed = PassedConnection(
             held,
-            client.rest().tobytes(),
-            server.rest().tobytes(),
-            tuple(self._asked),
-            self._heard,
-            self._loads.usual,
-            self._last,
-            self._move_asked,
+            client.unread().tobytes(),
+            server.unread().tobytes(),
+            tuple(self._unanswered_times),
+            self._client_active_at,
+            self._load_lines.expected_load,
+            self._last_word,
+            self._move_requested,
         )
         if not send(passed, client.sock, server.sock):
             return self.move(at_once=True)
         client.close()
         server.close()
-        self._finish(End.PASSED_ON)
+        self._end(EndReason.PASSED_ON)
 
     @classmethod
     def from_predecessor(
@@ -262,119 +289,129 @@
         server: LineSocket,
         request: Request,
     ) -> Session:
-        """A connection that a former process of this balancer held."""
+        """Create the session of a connection that a predecessor process has handed over."""
         session = cls(listener, client)
         session.server, session.request = server, request
         held = passed.held
-        session.id, session._class, session._tenant, session.current_server = (
+        session.id, session._class_name, session._tenant, session.current_server = (
             held.id,
             held.class_name,
             held.tenant,
             held.server,
         )
-        session._heard, session._last, session._move_asked = passed.heard, passed.last, passed.move
-        session._asked.extend(passed.asked)
-        session._loads = LoadLines(passed.usual)
-        session._loads.load = held.load
+        session._client_active_at, session._last_word, session._move_requested = (
+            passed.heard,
+            passed.last,
+            passed.move,
+        )
+        session._unanswered_times.extend(passed.asked)
+        session._load_lines = LoadLineClassifier(passed.usual)
+        session._load_lines.load = held.load
         return session
 
-    async def go_on(self) -> None:
-        """Serve a connection that was passed on, to its end."""
+    async def run_resumed(self) -> None:
+        """Serve a connection that was handed over, to its end."""
         reset = False
         try:
-            self._reader = asyncio.create_task(self._from_client())
+            self._client_reader = asyncio.create_task(self._relay_from_client())
             reset = await self._relay()
         except Exception:
-            logger.exception("a session broke")
+            logger.exception("session failed")
             self._counters.add("errors")
         finally:
-            self._give_back(reset)
+            self._release_sockets(reset)
 
-    async def _first_line(self) -> memoryview | None:
-        """The line that begins the connection; `PING`s before it are answered. Nothing if none came.
+    async def _read_first_line(self) -> memoryview | None:
+        """Return the first line of the connection, after answering `PING`s; None if the client left before.
 
-        `TimeoutError` if it does not come in time, or the client is given up for others."""
+        Raises `TimeoutError` if it does not arrive in time or the socket is released for other clients, and
+        `LineError` if it is malformed."""
         try:
-            return await self._next_first_line()
+            return await self._await_first_line()
         except TimeoutError:
-            # Danger: where this process is late, who is given up as silent has spoken, unread; a request
-            # counts as taken from its last byte on.
+            # If this process was late, a client released as silent may have sent its request, which is still
+            # unread. A request counts as taken from its last byte on, so it must be served.
             self.client.read_available()
-            line = self.client.line()
+            line = self.client.next_line()
             if line is None or line.tobytes() == PING:
                 raise
             self._counters.add("clients.heard_late")
-            self._heard = self._clock()
+            self._client_active_at = self._clock()
             return line
 
-    async def _next_first_line(self) -> memoryview | None:
+    async def _await_first_line(self) -> memoryview | None:
         pings = 0
-        async with self.client.loose(HEAD_WITHIN, ending=False):
+        async with self.client.idle_timeout(FIRST_LINE_TIMEOUT_S, ending=False):
             while True:
-                line = self.client.line()
+                line = self.client.next_line()
                 if line is None:
-                    if not await self.client.fill():
+                    if not await self.client.read_more():
                         break
                 elif line.tobytes() == PING and pings < PINGS_MAX:
                     pings += 1
-                    self.client.take(len(line))
+                    self.client.consume(len(line))
                     self._counters.add("pings")
-                    await self.client.send(PONG if self._node.lifecycle.answers_ping else AWAY)
+                    await self.client.send(PONG if self._listener.lifecycle.answers_ping else AWAY)
                 else:
-                    self._heard = self._clock()
+                    self._client_active_at = self._clock()
                     return line
-        if len(self.client.rest()):
-            raise LineError("half a line")
+        if len(self.client.unread()):
+            raise LineError("connection ended within a line")
         return None
 
-    # Setting up.
-
-    async def _admitted(self, request: Request) -> Request:
-        """Wait for its turn, if this process is behind; the request with what is left of its time."""
-        gate, now = self._node.gate, self._clock()
-        wait = self._deadline - self._arrived
-        verdict = gate.decide(now, now - self._arrived, wait)
-        if verdict is AdmissionDecision.WAIT:
-            if not await self._node.turn(gate.latest_start(self._arrived, wait)):
-                verdict = AdmissionDecision.REFUSE
-            if self.client.gone():
-                raise ConnectionResetError("the client has left while it waited for its turn")
-            if self.client.spoke():  # also one that spoke and left
-                raise LineError("a client waits for its answer")
+    # Set-up.
+
+    async def _await_admission(self, request: Request) -> Request:
+        """Wait until the set-up may start if this process is behind; return the request with its remaining
+        budget.
+
+        Raises `ConnectionResetError` if the client left meanwhile, `LineError` if it sent more."""
+        admission, now = self._listener.admission, self._clock()
+        wait = self._deadline - self._arrived_at
+        decision = admission.decide(now, now - self._arrived_at, wait)
+        if decision is AdmissionDecision.WAIT:
+            if not await self._listener.wait_for_setup_turn(admission.latest_start(self._arrived_at, wait)):
+                decision = AdmissionDecision.REFUSE
+            if self.client.peer_closed():
+                raise ConnectionResetError("client left while it waited for its set-up")
+            if self.client.has_unread():  # also true of a client that sent more and left
+                raise LineError("client sent more before its answer")
             now = self._clock()
-        late = verdict is AdmissionDecision.REFUSE
+        late = decision is AdmissionDecision.REFUSE
         if late:
             self._counters.add("requests.late")
         return request._replace(budget=self._deadline - ANSWER_MARGIN_MS - now, late=late)
 
-    async def _set_up(self, head: Head, request: Request) -> bool:
-        """Try as the module says until the connection stands or the request is answered."""
-        facade, health, begun = self._node.facade, self._node.health, self._clock()
+    async def _set_up(self, first_line: FirstLine, request: Request) -> bool:
+        """Attempt the servers that the decision module picks; return whether the connection is established.
+
+        If not, the request has been answered or its client has left."""
+        facade, health, setup_started = self._listener.facade, self._listener.health, self._clock()
         while True:
             pick = facade.pick(self._clock(), request)
             if not isinstance(pick, Send):
                 return self._answer(*final_answer(pick))
             started = self._clock()
-            attempt = asyncio.create_task(self._attempt(head, pick, started))
-            await asyncio.wait((attempt, self._done), return_when=asyncio.FIRST_COMPLETED)
+            attempt = asyncio.create_task(self._attempt(first_line, pick, started))
+            await asyncio.wait((attempt, self._end_reason), return_when=asyncio.FIRST_COMPLETED)
             if not attempt.done():
                 attempt.cancel()
                 await asyncio.wait((attempt,))
             result = Result.CANCELLED if attempt.cancelled() else attempt.result()
-            if self._given_up():
+            if self._is_abandoned():
                 facade.report(self._clock(), Left(request.id))
-                self._over(started, Result.CANCELLED if result is Result.OK else result)
-                return self._unserved()
+                self._report_closed(started, Result.CANCELLED if result is Result.OK else result)
+                return self._answer_abandoned()
             now = self._clock()
             elapsed = now - started
             logger.debug("{} at {}: {} in {:.0f} ms", self.id, pick.server, result.value, elapsed)
             self._counters.add(f"attempts.{result.value}")
-            if result is Result.OK and now <= self._deadline - LAST:
-                self._node.gate.record_setup(now - begun)
+            if result is Result.OK and now <= self._deadline - UP_MARGIN_MS:
+                self._listener.admission.record_setup(now - setup_started)
                 health.record_answer(pick.server, now)
                 facade.report(now, Up(request.id, elapsed))
                 return True
-            if result is Result.OK:  # its client has given up: it gets no server
+            if result is Result.OK:  # too late: the client has given up and gets no server
                 self._counters.add("attempts.late")
                 result = Result.CANCELLED
             if self.server is not None:
@@ -382,83 +419,91 @@
                 self.server = None
             facade.report(self._clock(), Ended(request.id, elapsed, result, False))
 
-    def _given_up(self) -> bool:
-        """Whether nobody waits for an answer any more, or this balancer stops: the one place that says if an
-        attempt may begin, or come to stand.
+    def _is_abandoned(self) -> bool:
+        """Whether the client no longer waits for an answer or this balancer stops.
 
-        Danger: the client leaves in the very turn of the loop in which an attempt ends or comes up, and its
-        reader has not run yet."""
-        if self.client.gone():
-            self._finish(End.CLIENT)
-        return self._done.done()
+        This is the only check before an attempt may begin or become the established connection. It looks at
+        the socket itself: the client may leave in the same iteration of the event loop in which an attempt
+        ends, before its reader task has run."""
+        if self.client.peer_closed():
+            self._end(EndReason.CLIENT)
+        return self._end_reason.done()
 
-    def _unserved(self) -> bool:
-        """The end of a request that was given up before it stood: its client's doing, or this balancer's."""
-        end = self._done.result()
-        if end is End.STOPPED:
+    def _answer_abandoned(self) -> bool:
+        """Finish a request that ended before it was established; answer it unless its client has left."""
+        reason = self._end_reason.result()
+        if reason is EndReason.STOPPED:
             return self._answer("failed", FAILED)
-        if end is End.EARLY:
+        if reason is EndReason.EARLY:
             return self._answer("early", ERR)
         self._counters.add("clients.left")
         return False
 
-    def _answer(self, kind: str, line: bytes) -> bool:
-        self._counters.count_answer(self._class, kind)
-        if not self.client.say(line):
+    def _answer(self, outcome: str, line: bytes) -> bool:
+        self._counters.count_answer(self._class_name, outcome)
+        if not self.client.try_send(line):
             self._counters.add("answers.undelivered")
         return False
 
-    async def _attempt(self, head: Head, pick: Send, started: float) -> Result:
-        """One attempt at one server; `OK` when its `UP` lies unread in the server's buffer."""
+    async def _attempt(self, first_line: FirstLine, pick: Send, started: float) -> Result:
+        """Attempt one server; `OK` if its `UP` line is in the server socket's buffer, still unread."""
         loop = asyncio.get_running_loop()
-        address = self._node.discovery.address(pick.server)
+        address = self._listener.discovery.address(pick.server)
         if address is None:
             return Result.NOT_SENT
-        ends = loop.time() + pick.timeout / 1000
+        latest_end = loop.time() + pick.timeout / 1000
         try:
-            server = self.server = self._node.sockets.to_server()
-        except OSError as error:  # out of descriptors: this says nothing of the server
-            logger.debug("no socket for an attempt: {}", error)
+            server = self.server = self._listener.sockets.open_to_server()
+        except OSError as error:  # out of descriptors: no fault of the server
+            logger.debug("no socket for an attempt, not sent: {}", error)
             self._counters.add("attempts.no_socket")
             return Result.NOT_SENT
         self._counters.add("attempts")
         self.current_server = pick.server
         try:
-            async with asyncio.timeout_at(min(ends, loop.time() + self._node.config.dial_timeout / 1000)):
+            async with asyncio.timeout_at(
+                min(latest_end, loop.time() + self._listener.config.dial_timeout / 1000)
+            ):
                 await loop.sock_connect(server.sock, address)
         except TimeoutError:
-            if not server.connected():
+            if not server.is_connected():
                 return Result.UNREACHABLE
-            self._counters.add("attempts.own_delay")  # it stands: this process was late to see it
+            self._counters.add("attempts.own_delay")  # it is connected: this process noticed late
         except OSError:
             return Result.UNREACHABLE
-        overdue = loop.time() >= ends or self._clock() - started >= pick.send_within
-        if overdue or not self._node.discovery.ready(pick.server) or self._given_up():
+        overdue = loop.time() >= latest_end or self._clock() - started >= pick.send_within
+        if overdue or not self._listener.discovery.is_ready(pick.server) or self._is_abandoned():
             return Result.NOT_SENT
-        left = max(1, int((ends - loop.time()) * 1000))
+        remaining_ms = max(1, int((latest_end - loop.time()) * 1000))
         try:
-            async with asyncio.timeout_at(ends):
-                await server.send_parts([head.before, str(left).encode() if head.after else b"", head.after])
-        except TimeoutError:  # Danger: it may end the wait for the last byte just after that was written
+            async with asyncio.timeout_at(latest_end):
+                await server.send_parts(
+                    [
+                        first_line.text_before_wait,
+                        str(remaining_ms).encode() if first_line.text_after_wait else b"",
+                        first_line.text_after_wait,
+                    ]
+                )
+        except TimeoutError:  # the last byte may have been written just before the time-out
             return Result.TIMEOUT
         except OSError:
             return Result.UNREACHABLE
         self._counters.add("dispatches")
-        return await self._verdict(server, ends)
+        return await self._read_server_answer(server, latest_end)
 
-    async def _verdict(self, server: LineSocket, ends: float) -> Result:
-        """What the server says to the first line."""
+    async def _read_server_answer(self, server: LineSocket, latest_end: float) -> Result:
+        """Read the server's answer to the first line."""
         try:
-            async with asyncio.timeout_at(ends):
-                while (line := server.line()) is None:
-                    if not await server.fill():
+            async with asyncio.timeout_at(latest_end):
+                while (line := server.next_line()) is None:
+                    if not await server.read_more():
                         return Result.RESET
         except TimeoutError:
-            server.read_available()  # what came in time may lie unread, if this process was late
-            if (late := server.line()) is None:
+            server.read_available()  # an answer that came in time may be unread if this process was late
+            if (late_line := server.next_line()) is None:
                 return Result.TIMEOUT
             self._counters.add("attempts.own_delay")
-            line = late
+            line = late_line
         except OSError:
             return Result.RESET
         except LineError:
@@ -467,125 +512,139 @@
             return Result.ERROR
         if line[:3].tobytes() == b"UP ":
             return Result.OK
-        word = line.tobytes().split()[:1]
-        if word == [b"BUSY"]:  # Danger: with more behind it, it is no proof that nothing has run
-            return Result.FULL if len(line) == len(server.rest()) else Result.ERROR
-        if word == [b"MOVE"]:
+        first_word = line.tobytes().split()[:1]
+        if first_word == [b"BUSY"]:  # with more after it, it does not prove that the request never ran
+            return Result.FULL if len(line) == len(server.unread()) else Result.ERROR
+        if first_word == [b"MOVE"]:
             return Result.CANCELLED
         return Result.ERROR
 
-    async def _adopt(self, head: Head, request: Request) -> bool:
-        """Take up again, at its own server, a connection that stood before the start."""
-        server = head.values["at"]
+    async def _adopt(self, first_line: FirstLine, request: Request) -> bool:
+        """Establish a connection from before the start again, at its own server; return whether it is."""
+        server = first_line.values["at"]
         loop = asyncio.get_running_loop()
-        ends = loop.time() + ADOPT_WITHIN
+        latest_end = loop.time() + ADOPTION_TIMEOUT_S
         started = self._clock()
         self._counters.add("requests.adopted")
         self.current_server = server
-        self._node.facade.report(started, Adopted(request, server))
-        while not self._done.done():
-            attempt = asyncio.create_task(self._adopt_once(head, server, ends))
-            await asyncio.wait((attempt, self._done), return_when=asyncio.FIRST_COMPLETED)
+        self._listener.facade.report(started, Adopted(request, server))
+        while not self._end_reason.done():
+            attempt = asyncio.create_task(self._adopt_once(first_line, server, latest_end))
+            await asyncio.wait((attempt, self._end_reason), return_when=asyncio.FIRST_COMPLETED)
             if not attempt.done():  # the client has left, or this balancer stops
                 attempt.cancel()
                 await asyncio.wait((attempt,))
                 break
             result = attempt.result()
             if result is Result.OK:
-                self._node.health.record_answer(server, self._clock())
+                self._listener.health.record_answer(server, self._clock())
                 return True
             if self.server is not None:
                 self.server.close()
                 self.server = None
-            if result not in (Result.UNREACHABLE, Result.FULL) or loop.time() + ADOPT_RETRY > ends:
+            if result not in (Result.UNREACHABLE, Result.FULL) or loop.time() + ADOPTION_RETRY_S > latest_end:
                 break
-            await asyncio.sleep(ADOPT_RETRY)
-        self._over(started, Result.CANCELLED)
+            await asyncio.sleep(ADOPTION_RETRY_S)
+        self._report_closed(started, Result.CANCELLED)
         return self._answer("failed", FAILED)
 
-    async def _adopt_once(self, head: Head, server: str, ends: float) -> Result:
+    async def _adopt_once(self, first_line: FirstLine, server: str, latest_end: float) -> Result:
         loop = asyncio.get_running_loop()
-        address = self._node.discovery.address(server)
+        address = self._listener.discovery.address(server)
         if address is None:
             return Result.NOT_SENT
         try:
-            wire = self.server = self._node.sockets.to_server()
-            async with asyncio.timeout_at(ends):
-                await loop.sock_connect(wire.sock, address)
-            left = max(1, int((ends - loop.time()) * 1000))
-            await wire.send_parts([head.before, str(left).encode() if head.after else b"", head.after])
+            line_socket = self.server = self._listener.sockets.open_to_server()
+            async with asyncio.timeout_at(latest_end):
+                await loop.sock_connect(line_socket.sock, address)
+            remaining_ms = max(1, int((latest_end - loop.time()) * 1000))
+            await line_socket.send_parts(
+                [
+                    first_line.text_before_wait,
+                    str(remaining_ms).encode() if first_line.text_after_wait else b"",
+                    first_line.text_after_wait,
+                ]
+            )
         except (OSError, TimeoutError):
             return Result.UNREACHABLE
         self._counters.add("dispatches")
-        return await self._verdict(wire, ends)
+        return await self._read_server_answer(line_socket, latest_end)
 
-    # The standing connection.
+    # The established connection.
 
     async def _relay(self) -> bool:
-        """Pass lines on until one side ends; whether that was a reset."""
-        self.established, self.up_at = True, self._clock()
-        self._stands.set_result(None)
-        self._down = asyncio.create_task(self._from_server())
-        if self._move_asked:
+        """Relay lines until one side ends; return whether that was a connection reset."""
+        self.established, self.established_at = True, self._clock()
+        self._established_future.set_result(None)
+        self._server_reader = asyncio.create_task(self._relay_from_server())
+        if self._move_requested:
             self.move()
         try:
-            end = await self._done
+            reason = await self._end_reason
         finally:
-            self._down.cancel()
+            self._server_reader.cancel()
             self.established = False
-            self._over(self.up_at, self._result())
-        self._counters.add(f"ends.{end.value}")
-        logger.debug("{} at {}: ended by {} ({})", self.id, self.current_server, end.value, self._last)
-        return end in (End.CLIENT_RESET, End.SERVER_RESET)
+            self._report_closed(self.established_at, self._closing_result())
+        self._counters.add(f"ends.{reason.value}")
+        logger.debug(
+            "{} at {}: connection ended by {} (last word from server {})",
+            self.id,
+            self.current_server,
+            reason.value,
+            self._last_word,
+        )
+        return reason in (EndReason.CLIENT_RESET, EndReason.SERVER_RESET)
 
-    def _result(self) -> Result:
-        if not self._done.done() or self._done.cancelled():
+    def _closing_result(self) -> Result:
+        if not self._end_reason.done() or self._end_reason.cancelled():
             return Result.CANCELLED
-        end = self._done.result()
-        if end is End.SERVER:
-            return PARTING.get(self._last, Result.RESET)
-        return ENDED.get(end, Result.CANCELLED)
+        reason = self._end_reason.result()
+        if reason is EndReason.SERVER:
+            return FINAL_WORD_RESULTS.get(self._last_word, Result.RESET)
+        return SERVER_FAULT_RESULTS.get(reason, Result.CANCELLED)
 
-    def _over(self, started: float, result: Result) -> None:
+    def _report_closed(self, started: float, result: Result) -> None:
         now = self._clock()
-        self._node.facade.report(now, Ended(self.id, now - started, result, True))
+        self._listener.facade.report(now, Ended(self.id, now - started, result, True))
 
-    def _finish(self, end: End) -> None:
-        if not self._done.done():
-            self._done.set_result(end)
+    def _end(self, reason: EndReason) -> None:
+        if not self._end_reason.done():
+            self._end_reason.set_result(reason)
 
-    def _broken(self, end: End) -> None:
-        """A defect of ours: the log has it, and the connection ends instead of hanging."""
-        logger.exception("a session broke")
+    def _end_after_defect(self, reason: EndReason) -> None:
+        """End the connection after a programming error, so that it does not hang; the error is logged."""
+        logger.exception("session failed")
         self._counters.add("errors")
-        self._finish(end)
+        self._end(reason)
 
-    async def _from_client(self) -> None:
-        """Client to server. Before `UP` it only notices that the client has left, or does not wait."""
+    async def _relay_from_client(self) -> None:
+        """Relay from client to server.
+
+        Before `UP` it only notices that the client left or sent more without waiting for its answer."""
         client = self.client
         try:
             while True:
-                if self._parting:
+                if self._handing_over:
                     return
-                if not await client.fill():
+                if not await client.read_more():
                     break
-                if not self._stands.done():
-                    return self._finish(End.EARLY)
-                self._heard = self._clock()
-                lines = client.lines()
+                if not self._established_future.done():
+                    return self._end(EndReason.EARLY)
+                self._client_active_at = self._clock()
+                lines = client.whole_lines()
                 if len(lines):
-                    self._asked.append(self._heard)
+                    self._unanswered_times.append(self._client_active_at)
                     await self._to_server(lines)
-                    client.take(len(lines))
-            if len(client.rest()) and self.established:
-                await self._to_server(client.rest())
-            self._finish(End.CLIENT)
+                    client.consume(len(lines))
+            if len(client.unread()) and self.established:
+                await self._to_server(client.unread())
+            self._end(EndReason.CLIENT)
         except LineError:
-            self._finish(End.CLIENT)
+            self._end(EndReason.CLIENT)
         except OSError:
-            self._finish(End.CLIENT_RESET)
+            self._end(EndReason.CLIENT_RESET)
         except Exception:
-            self._broken(End.CLIENT)
+            self._end_after_defect(EndReason.CLIENT)
 
     async def _to_server(self, data: memoryview) -> None:
         if self.server is None:
@@ -594,118 +653,127 @@
             self._counters.add("lines.up", data.tobytes().count(b"\n"))
             logger.trace("{} at {}: client says {}", self.id, self.current_server, data.tobytes())
             await self.server.send(data)
-        except OSError:  # the reader of that side learns how it ended
-            await asyncio.sleep(FINISH_WITHIN)
-            self._finish(End.SERVER_RESET)
+        except OSError:  # `_relay_from_server` learns how the connection ended and reports it first
+            await asyncio.sleep(CLOSE_TIMEOUT_S)
+            self._end(EndReason.SERVER_RESET)
 
-    async def _from_server(self) -> None:
-        """Server to client, whole lines only, so that `MOVE` may go between any two writes."""
+    async def _relay_from_server(self) -> None:
+        """Relay whole lines from server to client, so that `MOVE` can be sent between any two writes."""
         server = self.server
         assert server is not None
         try:
             while True:
-                lines = server.lines()
+                lines = server.whole_lines()
                 if len(lines):
-                    self._read_news(lines)
+                    self._observe_lines(lines)
                     await self._to_client(lines)
-                    server.take(len(lines))
-                if self._parting:
+                    server.consume(len(lines))
+                if self._handing_over:
                     return
-                if not await server.fill():
-                    if len(server.rest()):
-                        await self._to_client(server.rest())
-                    return self._finish(End.SERVER)
+                if not await server.read_more():
+                    if len(server.unread()):
+                        await self._to_client(server.unread())
+                    return self._end(EndReason.SERVER)
         except LineError:
-            logger.warning("{}: a server's line is too long", self.id)
-            self._finish(End.SERVER_RESET)
+            logger.warning("{}: line from server is too long, closing the connection", self.id)
+            self._end(EndReason.SERVER_RESET)
         except OSError:
-            self._finish(End.SERVER_RESET)
+            self._end(EndReason.SERVER_RESET)
         except Exception:
-            self._broken(End.SERVER)
+            self._end_after_defect(EndReason.SERVER)
 
     async def _to_client(self, data: memoryview) -> None:
-        self._sending = True
+        self._sending_to_client = True
         try:
             await self.client.send(data)
         except OSError:
-            return self._finish(End.CLIENT_RESET)
+            return self._end(EndReason.CLIENT_RESET)
         finally:
-            self._sending = False
-        if self._move_asked:
+            self._sending_to_client = False
+        if self._move_requested:
             self.move()
 
-    def _read_news(self, lines: memoryview) -> None:
-        """What the passing lines tell: loads, and how long a message takes."""
+    def _observe_lines(self, lines: memoryview) -> None:
+        """Read loads and message delays from lines that pass to the client."""
         now = self._clock()
         for line in lines.tobytes().split(b"\r\n"):
             word, _, rest = line.partition(b" ")
             if not word:
                 continue
             self._counters.add("lines.down")
-            self._last = word
+            self._last_word = word
             if word != b"M":
                 logger.trace("{} at {}: says {}", self.id, self.current_server, line)
             if word == b"LOAD":
                 with contextlib.suppress(ValueError):
                     load = float(rest)
                     if 0 <= load < 1e15:
-                        self._read_load(now, load)
-            elif word not in (b"UP", b"BYE", b"MOVE") and self._asked:
-                delay = now - self._asked.popleft()
-                self._node.health.record_answer(self.current_server, now)
+                        self._observe_load(now, load)
+            elif word not in (b"UP", b"BYE", b"MOVE") and self._unanswered_times:
+                delay = now - self._unanswered_times.popleft()
+                self._listener.health.record_answer(self.current_server, now)
                 logger.trace("{} at {}: {:.1f} ms {}", self.id, self.current_server, delay, line)
-                if not self._node.health.tells(self.current_server, now):
-                    self._node.facade.report(now, Delay(self.id, delay))
-
-    def _read_load(self, now: float, value: float) -> None:
-        """A `LOAD` line: the connection's load, or its server's delay."""
-        health, facade, known = self._node.health, self._node.facade, self._loads.load
-        config = self._node.config
-        if not config.tells_load:
-            delay = config.tells_delay
+                if not self._listener.health.reports_delay(self.current_server, now):
+                    self._listener.facade.report(now, Delay(self.id, delay))
+
+    def _observe_load(self, now: float, value: float) -> None:
+        """Handle a `LOAD` line, which holds either the connection's load or its server's delay."""
+        health, facade, previous_load = self._listener.health, self._listener.facade, self._load_lines.load
+        config = self._listener.config
+        if not config.servers_report_load:
+            is_delay = config.servers_report_delay
         else:
-            due = health.begins(self.current_server, now, value, self._loads.usual) or health.due(
-                self.current_server, now
+            delay_due = health.starts_delay_series(
+                self.current_server, now, value, self._load_lines.expected_load
+            ) or health.is_delay_due(self.current_server, now)
+            max_delay = health.max_delay(self.current_server, now)
+            is_delay = config.servers_report_delay and self._load_lines.is_delay(
+                value, now, delay_due, max_delay
             )
-            most = health.most(self.current_server, now)
-            delay = config.tells_delay and self._loads.is_delay(value, now, due, most)
-        if delay:
+        if is_delay:
             self._counters.add("delays.told")
-            health.told(self.current_server, now, value)
+            health.record_delay(self.current_server, now, value)
             facade.report(now, Delay(self.id, value))
-        elif not config.tells_delay:
-            self._loads.load = value
-        if self._loads.load != known:
-            facade.report(now, Load(self.id, self._loads.load))
+        elif not config.servers_report_delay:
+            self._load_lines.load = value
+        if self._load_lines.load != previous_load:
+            facade.report(now, Load(self.id, self._load_lines.load))
 
     def move(self, at_once: bool = False) -> None:
-        """Tell the client to come again, between two lines, and end both sides.
+        """Tell the client to reconnect, between two lines, and end both sides.
 
-        Danger: a client that never reads would hold its connection past any drain; `at_once` waits not."""
-        if not self.established or self._done.done():
+        With `at_once`, a pending write is not waited for: a client that never reads would keep its connection
+        past the end of any drain."""
+        if not self.established or self._end_reason.done():
             return
-        if at_once and self._sending:
-            return self._finish(End.MOVED)
-        if self._sending:
-            self._move_asked = True
+        if at_once and self._sending_to_client:
+            return self._end(EndReason.MOVED)
+        if self._sending_to_client:
+            self._move_requested = True
         else:
-            self.client.say(MOVE)
-            self._finish(End.MOVED)
+            self.client.try_send(MOVE)
+            self._end(EndReason.MOVED)
+
+    def end_for_stop(self) -> None:
+        """End because the balancer stops now; a request without an answer is answered."""
+        self._end(EndReason.STOPPED)
 
-    def give_up(self) -> None:
-        """The balancer ends now: what is not answered yet gets its answer."""
-        self._finish(End.STOPPED)
+    def longest_wait(self, now: float) -> float:
+        """Return how long the oldest unanswered line has waited, in milliseconds; 0 if there is none.
 
-    def waits(self, now: float) -> float:
-        """For how long a line has waited for its answer; a client that takes nothing is no silent server."""
-        return now - self._asked[0] if self.established and self._asked and not self._sending else 0.0
+        While the client does not read, this is 0 too: the server may have answered."""
+        return (
+            now - self._unanswered_times[0]
+            if self.established and self._unanswered_times and not self._sending_to_client
+            else 0.0
+        )
 
-    def check(self, now: float, server_silent: bool) -> None:
-        """Called a few times a second: is either side silent?"""
-        if not self.established or self._done.done():
+    def check_silence(self, now: float, server_silent: bool) -> None:
+        """End the connection if either side has been silent for too long; called several times a second."""
+        if not self.established or self._end_reason.done():
             return
-        if self.waits(now) > (SILENT_SERVER_TIMEOUT_MS if server_silent else SILENCE_TIMEOUT_MS):
-            self.client.say(MOVE)
-            self._finish(End.SILENT)
-        elif now - self._heard > VANISHED_AFTER:
-            self._finish(End.CLIENT)
+        if self.longest_wait(now) > (SILENT_SERVER_TIMEOUT_MS if server_silent else SILENCE_TIMEOUT_MS):
+            self.client.try_send(MOVE)
+            self._end(EndReason.SILENT)
+        elif now - self._client_active_at > CLIENT_IDLE_TIMEOUT_MS:
+            self._end(EndReason.CLIENT)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for servers and discovery, and the real program between them, all on loopback."""
+"""Fake servers and a fake discovery service, and the real balancer process between them, all on loopback."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from switchhub.lab.told import nested
 
 ROOT = Path(__file__).parent.parent
-TIMEOUT_S = 10.0  # seconds in which anything awaited must have come
-IDS = iter(range(1, 1_000_000))
+TIMEOUT_S = 10.0  # seconds in which anything that a test waits for must come
+CONNECTION_IDS = iter(range(1, 1_000_000))
 
 
 DEPLOYMENT = parse(
@@ -44,14 +44,16 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """A deployment's settings, nested, by the wire's names. These servers may tell their delay."""
-    told = nested(DEPLOYMENT, 0)
-    told["FamilyInfo"]["TellsDelay"] = True
-    return {**told, **changes}
+    """Return a deployment's nested settings, with `changes` at the top level. Servers report their delay."""
+    defaults = nested(DEPLOYMENT, 0)
+    defaults["FamilyInfo"]["TellsDelay"] = True
+    return {**defaults, **changes}
 
 
 class FakeServer:
-    """Answers each first line as `mode` says, and after `UP` each line with itself."""
+    """A server that answers each first line as `mode` says and, after `UP`, echoes each line.
+
+    `mode` is `up`, `silent`, `reset`, or else the line to answer before it closes the connection."""
 
     def __init__(self, name: str, mode: str = "up") -> None:
         self.name, self.mode = name, mode
@@ -99,22 +101,25 @@
 
 
 class FakeDiscovery:
-    """The list of servers, as whole lists, with watches; `fails` calls are answered with 503."""
+    """A discovery service that returns full lists and supports watches.
+
+    The next `failures_left` calls are answered with status 503, the next `unanswered_calls` not at all."""
 
     def __init__(self, servers: list[FakeServer]) -> None:
         self.states = {server.name: "Ready" for server in servers}
         self.started = {server.name: 0 for server in servers}
-        self.version, self.fails, self.calls = 1, 0, 0
-        self.unanswered_calls = 0  # so many calls get no answer
+        self.version, self.failures_left, self.calls = 1, 0, 0
+        self.unanswered_calls = 0
         self.address = ""
         self._servers = servers
         self._changed = asyncio.Condition()
         self._server: asyncio.Server | None = None
         self._writers: list[asyncio.StreamWriter] = []
-        self.bodies: list[bytes] = []  # what the next calls are answered, as it is; nothing: a reset
-        self.keeps = False  # the connection stays open after them
-        self.told = 0  # version that was written to somebody last
-        self.queries: list[str] = []  # the calls' queries
+        # Raw responses to the next calls; an empty one resets the connection.
+        self.canned_responses: list[bytes] = []
+        self.keep_open = False  # keep the connection open after a canned response
+        self.last_sent_version = 0  # version of the list that was sent last
+        self.queries: list[str] = []  # the query of each call
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=4096)
@@ -163,17 +168,17 @@
                 if self.unanswered_calls:
                     self.unanswered_calls -= 1
                     continue
-                if self.bodies:
-                    body = self.bodies.pop(0)
+                if self.canned_responses:
+                    body = self.canned_responses.pop(0)
                     if not body:
                         return reset(writer)
                     writer.write(body)
                     await writer.drain()
-                    if self.keeps:
+                    if self.keep_open:
                         continue
                     return writer.close()
-                if self.fails:
-                    self.fails -= 1
+                if self.failures_left:
+                    self.failures_left -= 1
                     writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                     continue
                 index, wait = int(query.get("index", ["-1"])[0]), int(query.get("wait", ["0"])[0]) / 1000
@@ -185,15 +190,15 @@
                 body = json.dumps(self.listing()).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
                 await writer.drain()
-                self.told = self.version
+                self.last_sent_version = self.version
 
 
 class Client:
-    """One connection to the balancer."""
+    """One client connection to the balancer."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.up_line = b""  # the line that said `UP`
+        self.up_line = b""  # the `UP` line that it received
 
     def send(self, data: bytes) -> None:
         self.writer.write(data)
@@ -203,18 +208,18 @@
             return await self.reader.readline()
 
     async def read_to_end(self) -> bytes:
-        """All that still comes; a reset raises."""
+        """Return all that still arrives; raises if the connection is reset."""
         async with asyncio.timeout(TIMEOUT_S):
             return await self.reader.read()
 
 
 class BalancerProcess:
-    """The real balancer as a process."""
+    """The real balancer in a process of its own."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int, file: Path) -> None:
         self.process, self.port, self.config_file = process, port, file
         self.log: list[str] = []
-        self.killed = False  # by the test, on purpose
+        self.killed = False  # set by a test that kills it on purpose
         self._reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
@@ -228,7 +233,8 @@
     async def open(self, values: str = "", kind: str = "any", wait: int = 2000) -> Client:
         client = await self.client()
         client.send(
-            b"OPEN %016x key c=%s,t=acme,d=%d%s\r\n" % (next(IDS), kind.encode(), wait, values.encode())
+            b"OPEN %016x key c=%s,t=acme,d=%d%s\r\n"
+            % (next(CONNECTION_IDS), kind.encode(), wait, values.encode())
         )
         return client
 
@@ -239,7 +245,7 @@
         return client
 
     async def wait_for_log(self, text: str) -> str:
-        """The log's first line with this text, once it is there."""
+        """Wait until the log contains this text; return the first such line."""
         async with asyncio.timeout(TIMEOUT_S):
             while True:
                 for line in self.log:
@@ -247,25 +253,25 @@
                         return line
                 await asyncio.sleep(0.01)
 
-    async def call(self, what: str) -> tuple[int, str]:
-        """A call of the staff: its status and text."""
+    async def call(self, request: str) -> tuple[int, str]:
+        """Send a management request, such as `GET /stats`; return its status and body."""
         port = int((await self.wait_for_log("management on")).rsplit(":", 1)[1])
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(f"{what} HTTP/1.1\r\n\r\n".encode())
+        writer.write(f"{request} HTTP/1.1\r\n\r\n".encode())
         async with asyncio.timeout(TIMEOUT_S):
             head, _, text = (await reader.read()).decode().partition("\r\n\r\n")
         writer.close()
         return int(head.split()[1]), text
 
     async def metrics(self) -> dict[str, int]:
-        """The figures of now."""
+        """Return the current metrics."""
         status, text = await self.call("GET /stats")
         assert status == 200
         lines = (line.removeprefix("balancer.").partition("|")[0] for line in text.splitlines())
         return {name: int(value) for name, _, value in (line.partition(":") for line in lines)}
 
     async def reload(self, text: str) -> None:
-        """Put this in the configuration's place and tell the program; back once it has read it."""
+        """Replace the configuration file, send SIGHUP and wait until the file has been read."""
         self.config_file.write_text(text)
         before = sum("reload: " in line for line in self.log)
         self.process.send_signal(signal.SIGHUP)
@@ -274,14 +280,13 @@
                 await asyncio.sleep(0.01)
 
     def config_with_discovery(self, discovery: FakeDiscovery) -> str:
-        """The configuration with another discovery."""
+        """Return the configuration with another discovery address."""
         return json.dumps({**json.loads(self.config_file.read_text()), "discovery": discovery.address})
 
     async def stop(self) -> int:
-        told = any(
-            "stopping with" in line for line in self.log
-        )  # a second signal may meet it at its very end
-        if self.process.returncode is None and not told:
+        # A process that is already stopping gets no second signal, which might meet it at its very end.
+        already_stopping = any("stopping with" in line for line in self.log)
+        if self.process.returncode is None and not already_stopping:
             self.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(TIMEOUT_S):
             await self.process.wait()
@@ -296,7 +301,7 @@
     environ: dict[str, str] | None = None,
     command: tuple[str, ...] = ("-m", "switchhub"),
 ) -> BalancerProcess:
-    """The program with this configuration, once it listens."""
+    """Start the program with this configuration file; return once it listens."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         *command,
@@ -306,30 +311,30 @@
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
     )
     assert process.stderr is not None
-    before: list[str] = []
+    early_log: list[str] = []
     try:
         async with asyncio.timeout(TIMEOUT_S):
             while b"listens on" not in (line := await process.stderr.readline()):
-                assert line, f"the program ended: {before}"
-                before.append(line.decode())
+                assert line, f"the program ended: {early_log}"
+                early_log.append(line.decode())
     except BaseException:
         if process.returncode is None:
             process.kill()
         raise
     program = BalancerProcess(process, int(line.rsplit(b":", 1)[1]), file)
-    program.log[:0] = before
+    program.log[:0] = early_log
     return program
 
 
 async def assert_clean_exit(program: BalancerProcess) -> None:
-    """The program's end, as it should be."""
+    """Assert that the process has ended with status 0 or still runs, and has logged no traceback."""
     assert program.process.returncode in (None, 0) or program.killed, program.log
     assert not any("Traceback" in line for line in program.log), program.log
 
 
 @contextlib.asynccontextmanager
 async def running_balancer(
-    path: Path,
+    directory: Path,
     *servers: FakeServer,
     deployment_settings: dict[str, Any] | None = None,
     sockets: int = 1024,
@@ -337,25 +342,25 @@
     management: bool = False,
     command: tuple[str, ...] = ("-m", "switchhub"),
 ) -> AsyncIterator[tuple[BalancerProcess, FakeDiscovery]]:
-    """Servers, discovery and the program, started; ended with the block."""
+    """Start servers, discovery and the program; stop them at the end of the block."""
     discovery = FakeDiscovery(list(servers))
-    parts: list[FakeServer | FakeDiscovery] = [*servers, discovery]
-    for part in parts:
-        await part.start()
-    known = discovery.listing()
-    discovery.fails = discovery_failures
+    fakes: list[FakeServer | FakeDiscovery] = [*servers, discovery]
+    for fake in fakes:
+        await fake.start()
+    initial_listing = discovery.listing()
+    discovery.failures_left = discovery_failures
     config = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": discovery.address,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": sockets},
-        "known": known,
+        "known": initial_listing,
         "settings": deployment_settings or settings(),
     }
     if management:
         config["management"] = "127.0.0.1:0"
-    file = path / "config.json"
+    file = directory / "config.json"
     file.write_text(json.dumps(config))
     program = await start_balancer(file, sockets, command=command)
     try:
@@ -365,15 +370,15 @@
         if program.process.returncode is None:
             program.process.kill()
             await program.process.wait()
-        for part in parts:
-            await part.close()
+        for fake in fakes:
+            await fake.close()
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection with a reset."""
+    """Reset a connection."""
     reset_transport(writer.transport)
 
 
 def resident_bytes(pid: int) -> int:
-    """Bytes that the process holds."""
+    """Return the resident memory of a process in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize()
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -67,7 +67,7 @@
     ),
     (
         "await self._to_client(lines)\n",
-        "await self._to_client(lines); b'UP ' in lines.tobytes() and self.client.say(b'FAILED\\r\\n')\n",
+        "await self._to_client(lines); b'UP ' in lines.tobytes() and self.client.try_send(b'FAILED\\r\\n')\n",
         "answered twice",
     ),
 ]
