--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""A session's own judgement of silence, without a network."""
+"""How a session detects a silent server and a vanished client, without a network."""
 
 from __future__ import annotations
 
@@ -10,27 +10,32 @@
 import pytest
 
 from switchhub.net.counters import Counters
-from switchhub.net.line_socket import PATIENCE_AT_NEED, LineSocket, SocketBudget
-from switchhub.net.listener import CHECK
-from switchhub.net.session import SILENCE_TIMEOUT_MS, SILENT_SERVER_TIMEOUT_MS, VANISHED_AFTER, Session
+from switchhub.net.line_socket import SCARCE_IDLE_GRACE_S, LineSocket, SocketBudget
+from switchhub.net.listener import SILENCE_CHECK_INTERVAL_S
+from switchhub.net.session import (
+    CLIENT_IDLE_TIMEOUT_MS,
+    SILENCE_TIMEOUT_MS,
+    SILENT_SERVER_TIMEOUT_MS,
+    Session,
+)
 
 
-class Played:
-    """A standing session whose one line went out at 1000."""
+class EstablishedSession:
+    """An established session whose only line was sent at 1000 ms and is unanswered."""
 
     def __init__(self) -> None:
         here, self.client = socket.socketpair()
-        node: Any = SimpleNamespace(
+        listener: Any = SimpleNamespace(
             counters=Counters(),
             clock=lambda: 1000.0,
             sockets=SocketBudget(100),
             loop=asyncio.get_running_loop(),
         )
-        self.session = Session(cast(Any, node), LineSocket(here, node.sockets))
+        self.session = Session(cast(Any, listener), LineSocket(here, listener.sockets))
         self.session.established = True
-        self.session._asked.append(1000.0)
+        self.session._unanswered_times.append(1000.0)
 
-    def heard(self) -> bytes:
+    def received(self) -> bytes:
         self.client.setblocking(False)
         try:
             return self.client.recv(100)
@@ -42,77 +47,80 @@
         self.client.close()
 
 
-def play(at: float, server_silent: bool = False, sending: bool = False, asked: bool = True) -> bytes:
-    """What the client hears when the session looks at this time; only who is told is given up."""
+def check_at(
+    now: float, server_silent: bool = False, sending: bool = False, awaiting_answer: bool = True
+) -> bytes:
+    """Check for silence at this time; return what the client received, checking that the session ended only
+    if it received something."""
 
     async def run() -> bytes:
-        played = Played()
-        played.session._sending = sending
-        if not asked:
-            played.session._asked.clear()
-        played.session.check(at, server_silent)
-        heard = played.heard()
-        assert played.session._done.done() is bool(heard)
-        played.close()
-        return heard
+        fixture = EstablishedSession()
+        fixture.session._sending_to_client = sending
+        if not awaiting_answer:
+            fixture.session._unanswered_times.clear()
+        fixture.session.check_silence(now, server_silent)
+        received = fixture.received()
+        assert fixture.session._end_reason.done() is bool(received)
+        fixture.close()
+        return received
 
     return asyncio.run(run())
 
 
-def test_a_line_that_waits_long_moves_the_client() -> None:
-    assert play(1000.0 + SILENCE_TIMEOUT_MS - 1) == b""
-    assert play(1000.0 + SILENCE_TIMEOUT_MS + 1) == b"MOVE\r\n"
+def test_client_is_moved_when_a_line_stays_unanswered() -> None:
+    assert check_at(1000.0 + SILENCE_TIMEOUT_MS - 1) == b""
+    assert check_at(1000.0 + SILENCE_TIMEOUT_MS + 1) == b"MOVE\r\n"
 
 
-def test_one_that_brings_nothing_back_is_moved_within_seven_seconds_of_its_last_answer() -> None:
-    """Found on roll+brink: the seven seconds run from the last answer, and the line that shows the silence
-    comes up to two seconds after it. Housekeeping looks every tenth of a second, and may be late once."""
+def test_client_is_moved_within_seven_seconds_of_the_last_answer() -> None:
+    """The seven seconds run from the last answer, but the first unanswered line comes up to two seconds after
+    it. Silence is checked every tenth of a second, and a check may be late once."""
     last_answer = 1000.0 - 2000.0
-    assert play(last_answer + 7000.0 - 2 * 1000.0 * CHECK) == b"MOVE\r\n"
+    assert check_at(last_answer + 7000.0 - 2 * 1000.0 * SILENCE_CHECK_INTERVAL_S) == b"MOVE\r\n"
 
 
-def test_sooner_when_the_server_is_silent_to_all() -> None:
-    assert play(1000.0 + SILENT_SERVER_TIMEOUT_MS - 1, server_silent=True) == b""
-    assert play(1000.0 + SILENT_SERVER_TIMEOUT_MS + 1, server_silent=True) == b"MOVE\r\n"
-    assert play(1000.0 + SILENCE_TIMEOUT_MS + 1, server_silent=True, asked=False) == b""
+def test_client_is_moved_sooner_when_the_server_is_silent_on_all_connections() -> None:
+    assert check_at(1000.0 + SILENT_SERVER_TIMEOUT_MS - 1, server_silent=True) == b""
+    assert check_at(1000.0 + SILENT_SERVER_TIMEOUT_MS + 1, server_silent=True) == b"MOVE\r\n"
+    assert check_at(1000.0 + SILENCE_TIMEOUT_MS + 1, server_silent=True, awaiting_answer=False) == b""
 
 
-def test_a_client_that_takes_nothing_is_not_the_servers_silence() -> None:
-    assert play(1000.0 + SILENCE_TIMEOUT_MS + 1, sending=True) == b""
+def test_client_that_does_not_read_is_not_a_silent_server() -> None:
+    assert check_at(1000.0 + SILENCE_TIMEOUT_MS + 1, sending=True) == b""
 
 
-def test_a_vanished_client_is_given_up() -> None:
+def test_connection_of_a_vanished_client_ends() -> None:
     async def run() -> None:
-        played = Played()
-        played.session._asked.clear()
-        played.session.check(1000.0 + VANISHED_AFTER - 1, False)
-        assert not played.session._done.done()
-        played.session.check(1000.0 + VANISHED_AFTER + 1, False)
-        assert played.session._done.done()
-        played.close()
+        fixture = EstablishedSession()
+        fixture.session._unanswered_times.clear()
+        fixture.session.check_silence(1000.0 + CLIENT_IDLE_TIMEOUT_MS - 1, False)
+        assert not fixture.session._end_reason.done()
+        fixture.session.check_silence(1000.0 + CLIENT_IDLE_TIMEOUT_MS + 1, False)
+        assert fixture.session._end_reason.done()
+        fixture.close()
 
     asyncio.run(run())
 
 
-def test_who_is_given_up_as_silent_but_has_spoken_unread_is_heard() -> None:
-    """Found under load: given up after 20 ms, with a whole request unread in the kernel, and reset."""
+def test_request_unread_when_its_idle_client_is_released_is_still_read() -> None:
+    """A client released as idle after 20 ms had its whole request unread in the kernel, and was reset."""
 
     async def run() -> None:
-        spoke, silent = Played(), Played()
-        told = [asyncio.create_task(each.session._first_line()) for each in (spoke, silent)]
+        late_sender, silent = EstablishedSession(), EstablishedSession()
+        first_lines = [asyncio.create_task(each.session._read_first_line()) for each in (late_sender, silent)]
         await asyncio.sleep(0)
-        sockets = spoke.session.client._sockets
-        sockets.share(68)  # nothing is left: whoever is silent is given up
-        silent.session.client._sockets.share(68)
-        await asyncio.sleep(PATIENCE_AT_NEED * 1.5)
-        spoke.client.send(b"OPEN 1 2 c=any\r\n")
-        assert sockets.relieve() == silent.session.client._sockets.relieve() == 1
-        line = await told[0]
+        sockets = late_sender.session.client._sockets
+        sockets.set_used_elsewhere(68)  # no socket is left, so idle clients are released
+        silent.session.client._sockets.set_used_elsewhere(68)
+        await asyncio.sleep(SCARCE_IDLE_GRACE_S * 1.5)
+        late_sender.client.send(b"OPEN 1 2 c=any\r\n")
+        assert sockets.release_idle() == silent.session.client._sockets.release_idle() == 1
+        line = await first_lines[0]
         assert line is not None
         assert line.tobytes() == b"OPEN 1 2 c=any\r\n"
         with pytest.raises(TimeoutError):
-            await told[1]
-        for each in (spoke, silent):
+            await first_lines[1]
+        for each in (late_sender, silent):
             each.close()
 
     asyncio.run(run())
--- a/tests/test_session_races.py
+++ b/tests/test_session_races.py
@@ -1,7 +1,7 @@
-"""What may come between two steps of a session, each forced at the step itself: no time decides here.
+"""Events between two steps of a session, each forced at the step itself; no outcome depends on timing.
 
-The real listener, module and sockets in this process; servers and clients are bare sockets that the test acts
-with between two turns of the loop, so what it does at once is seen by one look of the loop at its sockets."""
+The real listener, decision module and sockets run in this process. Servers and clients are bare sockets on
+which the test acts between two iterations of the event loop, so the loop sees several of its acts at once."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 from switchhub.net.config import read_config
 from switchhub.net.listener import Listener
 from switchhub.net.session import Session
-from tests.harness import IDS, TIMEOUT_S, settings
+from tests.harness import CONNECTION_IDS, TIMEOUT_S, settings
 
 
-class Scripted:
-    """A server that does nothing but what the test does with its sockets."""
+class ScriptedServer:
+    """A server whose sockets do only what the test does with them."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        self._coming: asyncio.Task[tuple[socket.socket, bytes]] | None = None
+        self._next_connection: asyncio.Task[tuple[socket.socket, bytes]] | None = None
 
-    def entry(self) -> dict[str, Any]:
+    def listing_entry(self) -> dict[str, Any]:
         host, port = self.sock.getsockname()
         return {"id": self.name, "addr": f"{host}:{port}", "state": "Ready", "started_ms": 0}
 
-    def coming(self) -> asyncio.Task[tuple[socket.socket, bytes]]:
-        """The next connection and its first line, or what came of it before its end."""
-        if self._coming is None:
-            self._coming = asyncio.create_task(self._next())
-        return self._coming
+    def next_connection(self) -> asyncio.Task[tuple[socket.socket, bytes]]:
+        """Return the task that accepts the next connection and reads its first line, or what came of it."""
+        if self._next_connection is None:
+            self._next_connection = asyncio.create_task(self._accept())
+        return self._next_connection
 
-    async def next(self) -> tuple[socket.socket, bytes]:
-        """The same, once it is there."""
-        found = await self.coming()
-        self._coming = None
+    async def accept_next(self) -> tuple[socket.socket, bytes]:
+        """Wait for the next connection; return its socket and first line."""
+        found = await self.next_connection()
+        self._next_connection = None
         return found
 
-    async def _next(self) -> tuple[socket.socket, bytes]:
+    async def _accept(self) -> tuple[socket.socket, bytes]:
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(TIMEOUT_S):
             sock, _ = await loop.sock_accept(self.sock)
@@ -56,9 +56,9 @@
                 line += more
         return sock, line
 
-    def untouched(self) -> bool:
-        """Whether nobody has connected."""
-        if self._coming is not None and self._coming.done():
+    def has_no_connection(self) -> bool:
+        """Whether no client has connected."""
+        if self._next_connection is not None and self._next_connection.done():
             return False
         try:
             self.sock.accept()[0].close()
@@ -67,11 +67,11 @@
         return False
 
 
-class Play:
-    """One balancer with two servers, `first` the one that the module chose."""
+class BalancerFixture:
+    """One balancer with two servers, and one client with its session."""
 
-    def __init__(self, path: Path, told: dict[str, Any] | None = None) -> None:
-        self.servers = {name: Scripted(name) for name in ("a", "b")}
+    def __init__(self, path: Path, deployment_settings: dict[str, Any] | None = None) -> None:
+        self.servers = {name: ScriptedServer(name) for name in ("a", "b")}
         file = path / "config.json"
         config = {
             "name": "n0",
@@ -82,36 +82,36 @@
             "known": {
                 "version": 1,
                 "full": True,
-                "servers": [each.entry() for each in self.servers.values()],
+                "servers": [each.listing_entry() for each in self.servers.values()],
             },
-            "settings": told or settings(),
+            "settings": deployment_settings or settings(),
         }
         file.write_text(json.dumps(config))
-        self.node = Listener(read_config({"BALANCER_CONFIG": str(file)}))
+        self.listener = Listener(read_config({"BALANCER_CONFIG": str(file)}))
         self.client: socket.socket
         self.task: asyncio.Task[None]
         self.session: Session
 
-    async def open(self, kind: str = "any", before: Callable[[], None] = lambda: None) -> None:
-        """A client's request, given to a session of its own."""
+    async def open_request(self, kind: str = "any", before: Callable[[], None] = lambda: None) -> None:
+        """Send a client's request and start a session for it; call `before` between the two."""
         here, self.client = socket.socketpair()
         self.client.setblocking(False)
-        self.client.send(b"OPEN %016x key c=%s,t=acme,d=2000\r\n" % (next(IDS), kind.encode()))
-        self.session = Session(self.node, self.node.sockets.of_client(here))
+        self.client.send(b"OPEN %016x key c=%s,t=acme,d=2000\r\n" % (next(CONNECTION_IDS), kind.encode()))
+        self.session = Session(self.listener, self.listener.sockets.add_client(here))
         before()
         self.task = asyncio.create_task(self.session.run())
 
-    async def attempted(self) -> tuple[Scripted, Scripted, socket.socket]:
-        """The server that has the request, the other one, and the connection."""
+    async def first_attempt(self) -> tuple[ScriptedServer, ScriptedServer, socket.socket]:
+        """Return the server that has the request, the other one, and the connection."""
         servers = list(self.servers.values())
-        await asyncio.wait([each.coming() for each in servers], return_when=asyncio.FIRST_COMPLETED)
-        first, other = sorted(servers, key=lambda each: not each.coming().done())
-        sock, line = await first.next()
+        await asyncio.wait([each.next_connection() for each in servers], return_when=asyncio.FIRST_COMPLETED)
+        first, other = sorted(servers, key=lambda each: not each.next_connection().done())
+        sock, line = await first.accept_next()
         assert line.startswith(b"OPEN ")
         return first, other, sock
 
-    async def ended(self) -> bytes:
-        """What the client has heard when its session is over."""
+    async def client_output(self) -> bytes:
+        """Wait for the session to end; return what the client received."""
         async with asyncio.timeout(TIMEOUT_S):
             await self.task
         try:
@@ -120,10 +120,10 @@
             return b""
 
     def close(self) -> None:
-        self.node.sock.close()
+        self.listener.sock.close()
         for each in self.servers.values():
             each.sock.close()
-        assert self.node.counters.get("errors") == 0
+        assert self.listener.counters.get("errors") == 0
 
 
 def reset(sock: socket.socket) -> None:
@@ -131,158 +131,168 @@
     sock.close()
 
 
-def played(path: Path, script: Callable[[Play], Awaitable[None]], told: dict[str, Any] | None = None) -> None:
+def run_script(
+    path: Path,
+    script: Callable[[BalancerFixture], Awaitable[None]],
+    deployment_settings: dict[str, Any] | None = None,
+) -> None:
     async def run() -> None:
-        play = Play(path, told)
+        fixture = BalancerFixture(path, deployment_settings)
         try:
-            await script(play)
+            await script(fixture)
         finally:
-            play.close()
+            fixture.close()
 
     asyncio.run(run())
 
 
-LEAVES: dict[str, Callable[[Play], None]] = {
-    "closes": lambda play: play.client.close(),
-    "resets": lambda play: reset(play.client),
-    "half-closes": lambda play: play.client.shutdown(socket.SHUT_WR),
-    "is given up by a stop": lambda play: play.session.give_up(),
+CLIENT_EXITS: dict[str, Callable[[BalancerFixture], None]] = {
+    "closes": lambda fixture: fixture.client.close(),
+    "resets": lambda fixture: reset(fixture.client),
+    "half-closes": lambda fixture: fixture.client.shutdown(socket.SHUT_WR),
+    "is ended by a stop": lambda fixture: fixture.session.end_for_stop(),
 }
 
 
 @pytest.mark.parametrize("client_first", [True, False])
-@pytest.mark.parametrize("leaves", LEAVES)
-def test_no_further_attempt_begins_when_one_ends_in_the_turn_in_which_its_client(
+@pytest.mark.parametrize("leaves", CLIENT_EXITS)
+def test_no_attempt_follows_one_that_ends_in_the_same_loop_iteration_as_its_client(
     tmp_path: Path, leaves: str, client_first: bool
 ) -> None:
-    async def script(play: Play) -> None:
-        await play.open()
-        _, other, sock = await play.attempted()
+    async def script(fixture: BalancerFixture) -> None:
+        await fixture.open_request()
+        _, other, sock = await fixture.first_attempt()
         if client_first:
-            LEAVES[leaves](play)
+            CLIENT_EXITS[leaves](fixture)
         reset(sock)
         if not client_first:
-            LEAVES[leaves](play)
-        assert await play.ended() == (b"FAILED\r\n" if leaves.startswith("is") else b"")
-        assert other.untouched()
-        assert not play.node.sessions and sum(play.node.facade._balancer.sums().values()) == 0
+            CLIENT_EXITS[leaves](fixture)
+        assert await fixture.client_output() == (b"FAILED\r\n" if leaves.startswith("is") else b"")
+        assert other.has_no_connection()
+        assert not fixture.listener.sessions and sum(fixture.listener.facade._balancer.sums().values()) == 0
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_an_answer_of_the_old_discovery_that_lies_unread_at_a_move_is_not_heard(tmp_path: Path) -> None:
-    """Danger: its version and its list would be taken for the new one's."""
+def test_unread_response_of_the_former_discovery_is_ignored_after_an_address_change(tmp_path: Path) -> None:
+    """Otherwise its version and its list would be taken for those of the new discovery service."""
 
-    async def script(play: Play) -> None:
+    async def script(fixture: BalancerFixture) -> None:
         loop = asyncio.get_running_loop()
-        old, new = Scripted("old"), Scripted("new")
-        discovery = play.node.discovery
-        discovery.move(old.sock.getsockname())
+        old, new = ScriptedServer("old"), ScriptedServer("new")
+        discovery = fixture.listener.discovery
+        discovery.change_address(old.sock.getsockname())
         running = asyncio.create_task(discovery.run())
         async with asyncio.timeout(TIMEOUT_S):
             sock, _ = await loop.sock_accept(old.sock)
             await loop.sock_recv(sock, 4096)
-        gone = {**play.servers["b"].entry(), "state": "Terminating"}
-        body = json.dumps({"version": 9, "full": True, "servers": [play.servers["a"].entry(), gone]}).encode()
+        draining = {**fixture.servers["b"].listing_entry(), "state": "Terminating"}
+        body = json.dumps(
+            {"version": 9, "full": True, "servers": [fixture.servers["a"].listing_entry(), draining]}
+        ).encode()
         sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-        discovery.move(new.sock.getsockname())
+        discovery.change_address(new.sock.getsockname())
         async with asyncio.timeout(TIMEOUT_S):
-            asks, _ = await loop.sock_accept(new.sock)
-            assert (await loop.sock_recv(asks, 4096)).startswith(b"GET /api/targets HTTP/1.1\r\n")
-        assert discovery.version == 0 and discovery.ready("b")
+            connection, _ = await loop.sock_accept(new.sock)
+            assert (await loop.sock_recv(connection, 4096)).startswith(b"GET /api/targets HTTP/1.1\r\n")
+        assert discovery.version == 0 and discovery.is_ready("b")
         running.cancel()
         await asyncio.wait((running,))
-        for each in (sock, asks, old.sock, new.sock):
+        for each in (sock, connection, old.sock, new.sock):
             each.close()
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_a_move_of_discovery_is_told_to_the_module(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
-        told: list[float] = []
+def test_decision_module_is_notified_of_a_new_discovery_address(tmp_path: Path) -> None:
+    async def script(fixture: BalancerFixture) -> None:
+        notified_at: list[float] = []
 
-        def moved(now: float) -> None:
-            told.append(now)
+        def discovery_changed(now: float) -> None:
+            notified_at.append(now)
 
-        play.node.facade.discovery_changed = moved  # type: ignore[method-assign]
-        play.node.discovery.move(("127.0.0.1", 2))
-        assert len(told) == 1
+        fixture.listener.facade.discovery_changed = discovery_changed  # type: ignore[method-assign]
+        fixture.listener.discovery.change_address(("127.0.0.1", 2))
+        assert len(notified_at) == 1
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
 @pytest.mark.parametrize("answer", [b"UP r-1\r\n", b"BUSY\r\n"])
-def test_a_client_that_speaks_in_the_turn_in_which_its_answer_comes_is_told_err(
+def test_client_that_sends_more_in_the_loop_iteration_of_its_answer_gets_err(
     tmp_path: Path, answer: bytes
 ) -> None:
-    """Danger: its connection came to stand, ended at once, and it was told nothing at all."""
+    """Otherwise its connection was established, ended at once, and the client received nothing at all."""
 
-    async def script(play: Play) -> None:
-        await play.open()
-        _, other, sock = await play.attempted()
-        play.client.send(b"too soon\r\n")
+    async def script(fixture: BalancerFixture) -> None:
+        await fixture.open_request()
+        _, other, sock = await fixture.first_attempt()
+        fixture.client.send(b"too soon\r\n")
         sock.send(answer)
-        assert await play.ended() == b"ERR\r\n"
-        assert other.untouched()
+        assert await fixture.client_output() == b"ERR\r\n"
+        assert other.has_no_connection()
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_a_stop_in_the_turn_in_which_the_connection_comes_up_answers_failed(tmp_path: Path) -> None:
-    """Danger: a connection that stands and is cut off without MOVE is lost."""
+def test_stop_in_the_loop_iteration_in_which_up_arrives_answers_failed(tmp_path: Path) -> None:
+    """A connection that is established and then cut off without MOVE is lost."""
 
-    async def script(play: Play) -> None:
-        await play.open()
-        _, _, sock = await play.attempted()
-        play.session.give_up()
+    async def script(fixture: BalancerFixture) -> None:
+        await fixture.open_request()
+        _, _, sock = await fixture.first_attempt()
+        fixture.session.end_for_stop()
         sock.send(b"UP r-1\r\n")
-        assert await play.ended() == b"FAILED\r\n"
+        assert await fixture.client_output() == b"FAILED\r\n"
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-@pytest.mark.parametrize("said", [b"", b"more\r\n"])
-def test_who_left_while_it_waited_for_its_turn_is_sent_nowhere(tmp_path: Path, said: bytes) -> None:
-    """Also one that spoke and left: its end lies behind what it said."""
+@pytest.mark.parametrize("sent", [b"", b"more\r\n"])
+def test_request_whose_client_left_while_waiting_for_admission_is_sent_nowhere(
+    tmp_path: Path, sent: bytes
+) -> None:
+    """This includes a client that sent more and left: the end of its stream comes after what it sent."""
 
-    async def script(play: Play) -> None:
-        async def turn(latest: float) -> bool:
-            if said:
-                play.client.send(said)
-            play.client.shutdown(socket.SHUT_WR)
+    async def script(fixture: BalancerFixture) -> None:
+        async def wait_for_setup_turn(latest_start: float) -> bool:
+            if sent:
+                fixture.client.send(sent)
+            fixture.client.shutdown(socket.SHUT_WR)
             return True
 
-        play.node.gate.decide = lambda now, age, wait: AdmissionDecision.WAIT  # type: ignore[method-assign]
-        play.node.turn = turn  # type: ignore[method-assign]
-        await play.open()
-        assert await play.ended() == (b"ERR\r\n" if said else b"")
-        assert all(each.untouched() for each in play.servers.values())
+        fixture.listener.admission.decide = lambda now, age, wait: AdmissionDecision.WAIT  # type: ignore[method-assign]
+        fixture.listener.wait_for_setup_turn = wait_for_setup_turn  # type: ignore[method-assign]
+        await fixture.open_request()
+        assert await fixture.client_output() == (b"ERR\r\n" if sent else b"")
+        assert all(each.has_no_connection() for each in fixture.servers.values())
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def at_connect(play: Play, act: Callable[[], None]) -> Callable[[], None]:
-    """Do this once, when the first attempt has its socket and before it connects."""
+def before_connect(fixture: BalancerFixture, act: Callable[[], None]) -> Callable[[], None]:
+    """Return a `before` that runs `act` once: when the next attempt has its socket, before it connects."""
 
     def before() -> None:
-        to_server = play.node.sockets.to_server
+        open_to_server = fixture.listener.sockets.open_to_server
 
         def once() -> Any:
-            play.node.sockets.to_server = to_server  # type: ignore[method-assign]
+            fixture.listener.sockets.open_to_server = open_to_server  # type: ignore[method-assign]
             act()
-            return to_server()
+            return open_to_server()
 
-        play.node.sockets.to_server = once  # type: ignore[method-assign]
+        fixture.listener.sockets.open_to_server = once  # type: ignore[method-assign]
 
     return before
 
 
-def test_nothing_is_written_for_a_client_that_left_while_the_connection_came_up(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
-        await play.open(before=at_connect(play, lambda: play.client.close()))
-        await play.ended()
-        for each in play.servers.values():
+def test_nothing_is_sent_for_a_client_that_left_while_its_server_connection_was_opened(
+    tmp_path: Path,
+) -> None:
+    async def script(fixture: BalancerFixture) -> None:
+        await fixture.open_request(before=before_connect(fixture, lambda: fixture.client.close()))
+        await fixture.client_output()
+        for each in fixture.servers.values():
             try:
                 sock, _ = each.sock.accept()
             except BlockingIOError:
@@ -292,65 +302,73 @@
                 assert await asyncio.get_running_loop().sock_recv(sock, 100) == b""
             sock.close()
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_a_drain_told_while_the_connection_comes_up_sends_nothing_there(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
+def test_nothing_is_sent_to_a_server_that_drains_while_the_connection_to_it_is_opened(
+    tmp_path: Path,
+) -> None:
+    async def script(fixture: BalancerFixture) -> None:
         picked: list[str] = []
-        pick = play.node.facade.pick
+        pick = fixture.listener.facade.pick
 
-        def seen(now: float, request: Any) -> Any:
+        def recording_pick(now: float, request: Any) -> Any:
             picked.append((found := pick(now, request)).server)  # type: ignore[union-attr]
             return found
 
-        play.node.facade.pick = seen  # type: ignore[method-assign]
-        await play.open(before=at_connect(play, lambda: play.node.discovery._ready.discard(picked[0])))
+        fixture.listener.facade.pick = recording_pick  # type: ignore[method-assign]
+        await fixture.open_request(
+            before=before_connect(
+                fixture, lambda: fixture.listener.discovery._ready_servers.discard(picked[0])
+            )
+        )
         async with asyncio.timeout(TIMEOUT_S):
             while len(picked) < 2:
                 await asyncio.sleep(0)
-        drained, other = (play.servers[name] for name in picked)
-        assert (await drained.next())[1] == b""
-        sock, line = await other.next()
+        drained, other = (fixture.servers[name] for name in picked)
+        assert (await drained.accept_next())[1] == b""
+        sock, line = await other.accept_next()
         assert line.startswith(b"OPEN ")
         sock.send(b"UP r-1\r\n")
         async with asyncio.timeout(TIMEOUT_S):
-            assert await asyncio.get_running_loop().sock_recv(play.client, 100) == b"UP r-1\r\n"
+            assert await asyncio.get_running_loop().sock_recv(fixture.client, 100) == b"UP r-1\r\n"
         sock.close()
-        await play.ended()
+        await fixture.client_output()
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
 @pytest.mark.parametrize("kind", ["any", "pay"])
-def test_a_time_out_while_the_first_line_is_written_proves_nothing(tmp_path: Path, kind: str) -> None:
-    """Danger: the wait for the last byte may be ended just after that byte went; unsafe, it may have run."""
+def test_time_out_while_the_first_line_is_written_does_not_prove_that_it_was_not_sent(
+    tmp_path: Path, kind: str
+) -> None:
+    """The time-out may come just after the last byte was written, so an unsafe request may have run."""
 
-    async def script(play: Play) -> None:
+    async def script(fixture: BalancerFixture) -> None:
         from switchhub.net.line_socket import LineSocket
 
-        whole = LineSocket.send_parts
+        original = LineSocket.send_parts
 
-        async def late(self: LineSocket, parts: Any) -> None:
-            await whole(self, parts)
+        async def time_out_afterwards(self: LineSocket, parts: Any) -> None:
+            await original(self, parts)
             raise TimeoutError
 
-        LineSocket.send_parts = late  # type: ignore[method-assign]
+        LineSocket.send_parts = time_out_afterwards  # type: ignore[method-assign]
         try:
-            await play.open(kind)
-            _, other, sock = await play.attempted()
+            await fixture.open_request(kind)
+            _, other, sock = await fixture.first_attempt()
             if kind == "pay":
-                assert await play.ended() == b"FAILED\r\n"
-                assert other.untouched()
+                assert await fixture.client_output() == b"FAILED\r\n"
+                assert other.has_no_connection()
             else:
-                assert (await other.next())[1].startswith(b"OPEN ")
-                play.client.close()
-                await play.ended()
+                assert (await other.accept_next())[1].startswith(b"OPEN ")
+                fixture.client.close()
+                await fixture.client_output()
             sock.close()
         finally:
-            LineSocket.send_parts = whole  # type: ignore[method-assign]
+            LineSocket.send_parts = original  # type: ignore[method-assign]
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
 @pytest.mark.parametrize(
@@ -366,95 +384,97 @@
         b"x" * 4097,
     ],
 )
-def test_an_answer_that_proves_nothing_is_no_proof_that_nothing_ran(tmp_path: Path, answer: bytes) -> None:
-    """An unsafe request may go on only if it is proven that it never ran."""
+def test_unsafe_request_is_not_retried_after_an_ambiguous_answer(tmp_path: Path, answer: bytes) -> None:
+    """It may be retried only if it is proven that it never ran."""
 
-    async def script(play: Play) -> None:
-        await play.open("pay")
-        _, other, sock = await play.attempted()
+    async def script(fixture: BalancerFixture) -> None:
+        await fixture.open_request("pay")
+        _, other, sock = await fixture.first_attempt()
         sock.send(answer)
-        assert await play.ended() == b"FAILED\r\n"
-        assert other.untouched()
+        assert await fixture.client_output() == b"FAILED\r\n"
+        assert other.has_no_connection()
         sock.close()
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_a_plain_busy_is_proof_and_the_request_goes_on(tmp_path: Path) -> None:
-    async def script(play: Play) -> None:
-        await play.open("pay")
-        _, other, sock = await play.attempted()
+def test_unsafe_request_is_retried_after_a_plain_busy(tmp_path: Path) -> None:
+    async def script(fixture: BalancerFixture) -> None:
+        await fixture.open_request("pay")
+        _, other, sock = await fixture.first_attempt()
         sock.send(b"BUSY\r\n")
-        again, line = await other.next()
+        again, line = await other.accept_next()
         assert line.startswith(b"OPEN ")
         again.send(b"BYE\r\n")
         sock.close()
-        assert await play.ended() == b"FAILED\r\n"
+        assert await fixture.client_output() == b"FAILED\r\n"
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-@pytest.mark.parametrize("ends", ["closes", "resets", "half a line"])
-def test_an_end_after_the_last_byte_may_have_run(tmp_path: Path, ends: str) -> None:
-    async def script(play: Play) -> None:
-        await play.open("pay")
-        _, other, sock = await play.attempted()
-        if ends == "half a line":
+@pytest.mark.parametrize("end", ["closes", "resets", "half a line"])
+def test_unsafe_request_is_not_retried_when_its_connection_ends_after_the_last_byte(
+    tmp_path: Path, end: str
+) -> None:
+    async def script(fixture: BalancerFixture) -> None:
+        await fixture.open_request("pay")
+        _, other, sock = await fixture.first_attempt()
+        if end == "half a line":
             sock.send(b"UP r-")
-        (reset if ends == "resets" else socket.socket.close)(sock)
-        assert await play.ended() == b"FAILED\r\n"
-        assert other.untouched()
+        (reset if end == "resets" else socket.socket.close)(sock)
+        assert await fixture.client_output() == b"FAILED\r\n"
+        assert other.has_no_connection()
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_keyed_request_is_not_repeated_past_its_window_by_a_connection_that_came_up_late(
+def test_keyed_request_is_not_repeated_past_its_window_over_a_slowly_opened_connection(
     tmp_path: Path, late: bool
 ) -> None:
-    """Danger: the repeat begins in its window, and is sent when the window is over."""
+    """The repeat begins within its window, but would be sent when the window is over."""
     window = 500.0
-    told = settings()
-    told["Classes"][1].update(Repeat="by_key", KeyScope="all", KeyTtl=window)
+    deployment_settings = settings()
+    deployment_settings["Classes"][1].update(Repeat="by_key", KeyScope="all", KeyTtl=window)
 
-    async def script(play: Play) -> None:
-        clock, passed = play.node.clock, [0.0]
-        play.node.clock = lambda: clock() + passed[0]  # type: ignore[method-assign]
-        await play.open("pay")
-        _, other, sock = await play.attempted()
+    async def script(fixture: BalancerFixture) -> None:
+        clock, passed = fixture.listener.clock, [0.0]
+        fixture.listener.clock = lambda: clock() + passed[0]  # type: ignore[method-assign]
+        await fixture.open_request("pay")
+        _, other, sock = await fixture.first_attempt()
 
-        def later() -> None:
+        def pass_window() -> None:
             passed[0] = window + 1.0
 
         if late:
-            at_connect(play, later)()
+            before_connect(fixture, pass_window)()
         reset(sock)
         if late:
-            assert await play.ended() == b"FAILED\r\n"
-            assert (await other.next())[1] == b""
+            assert await fixture.client_output() == b"FAILED\r\n"
+            assert (await other.accept_next())[1] == b""
         else:
-            again, line = await other.next()
+            again, line = await other.accept_next()
             assert line.startswith(b"OPEN ")
             again.close()
-            await play.ended()
+            await fixture.client_output()
 
-    played(tmp_path, script, told)
+    run_script(tmp_path, script, deployment_settings)
 
 
-def test_who_is_in_the_queue_when_a_stop_closes_the_address_is_answered(tmp_path: Path) -> None:
-    """Danger: a connection that the kernel has accepted counts as taken; closed unread, it is reset."""
+def test_client_in_the_backlog_when_a_stop_closes_the_address_is_answered(tmp_path: Path) -> None:
+    """A connection that the kernel has accepted counts as taken; if it is closed unread, it is reset."""
 
-    async def script(play: Play) -> None:
-        running = asyncio.create_task(play.node.run())
+    async def script(fixture: BalancerFixture) -> None:
+        running = asyncio.create_task(fixture.listener.run())
         async with asyncio.timeout(TIMEOUT_S):
-            while not play.node.serving:
+            while not fixture.listener.serving:
                 await asyncio.sleep(0)
-            await play.node.pause_accept()
-            reader, writer = await asyncio.open_connection(*play.node.address())
-            writer.write(b"OPEN %016x key c=any,t=acme,d=2000\r\n" % next(IDS))
-            play.node.stop()
+            await fixture.listener.pause_accepting()
+            reader, writer = await asyncio.open_connection(*fixture.listener.address())
+            writer.write(b"OPEN %016x key c=any,t=acme,d=2000\r\n" % next(CONNECTION_IDS))
+            fixture.listener.stop()
             assert await reader.readline() == b"FAILED\r\n"
             await running
             writer.close()
 
-    played(tmp_path, script)
+    run_script(tmp_path, script)
