--- a/switchhub/net/session.py
+++ b/switchhub/net/session.py
@@ -351,7 +351,7 @@
                     pings += 1
                     self.client.consume(len(line))
                     self._counters.add("pings")
-                    await self.client.send(PONG if self._listener.lifecycle.answers_ping else AWAY)
+                    await self.client.send(PONG if self._listener.lifecycle.accepts_new_clients else AWAY)
                 else:
                     self._client_active_at = self._clock()
                     return line
