--- a/switchhub/wirehost/__init__.py
+++ b/switchhub/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts many isolated balancers behind the line protocol of the simulator."""
+"""Runs many isolated balancers in one process, driven by a simulator through a line protocol."""
--- a/switchhub/wirehost/codec.py
+++ b/switchhub/wirehost/codec.py
@@ -1,4 +1,9 @@
-"""The wire's text: lines to events and actions to lines, with no state but the numbered lists."""
+"""Codec of the simulator's line protocol: decodes input lines to events, encodes actions to output lines.
+
+A line is a message: its name and its fields, separated by tabs. Input comes in batches: a `frame` with the
+clock, messages, `over_to_you`. The reply to a batch is one line for each action, then `ok`. `-` stands for an
+absent value. All times are milliseconds. `Decoder` keeps the numbered server lists; the rest has no state.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +17,20 @@
 
 END_OF_BATCH = "over_to_you"
 END_OF_REPLY = "ok"
-_HINT_VALID = 1
-_RETURNING = 16
-_LISTS = 16
-_LARGEST_TOKEN = 2**63
-_STATES = {"live": api.ServerState.READY, "quiescing": api.ServerState.DRAINING, "dead": api.ServerState.GONE}
-_KINDS = {"D": api.ServerListKind.CHANGES, "F": api.ServerListKind.WHOLE, "C": api.ServerListKind.REMEMBERED}
+_HINT_VALID_FLAG = 1  # bit of the field Opts: the field Effort holds a valid hint
+_RETURNING_FLAG = 16  # bit of the field Opts: the client had a connection before
+_MAX_LISTS = 16  # numbered server lists, counted from 0
+_MAX_INTEGER = 2**63  # largest integer in any field; timer tokens may be this large
+_SERVER_STATES = {
+    "live": api.ServerState.READY,
+    "quiescing": api.ServerState.DRAINING,
+    "dead": api.ServerState.GONE,
+}
+_SERVER_LIST_KINDS = {
+    "D": api.ServerListKind.CHANGES,
+    "F": api.ServerListKind.WHOLE,
+    "C": api.ServerListKind.REMEMBERED,
+}
 _RESULTS = {
     "pass": api.Result.OK,
     "fault": api.Result.ERROR,
@@ -31,157 +44,175 @@
 
 
 class Boot(NamedTuple):
-    """An instance starts."""
+    """Starts a balancer instance, in place of any former one of this name."""
 
     seed: int
     settings: api.Settings
 
 
 class Halt(NamedTuple):
-    """An instance is dead."""
+    """Ends a balancer instance, which takes no further action."""
 
 
-Message = tuple[str, Boot | Halt | api.Event]
+InstanceEvent = tuple[str, Boot | Halt | api.Event]  # the instance's name, and what happens to it
 
 
-def _number(name: str, field: str, text: str) -> float:
+def _parse_number(message_name: str, field: str, text: str) -> float:
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise WireError(name, field, f"not a number: {text!r}")
+        raise WireError(message_name, field, f"expected a finite number, got {text!r}")
     return value
 
 
-def _whole(name: str, field: str, text: str) -> int:
+def _parse_integer(message_name: str, field: str, text: str) -> int:
     try:
         value = int(text)
     except ValueError:
         value = -1
-    if not 0 <= value <= _LARGEST_TOKEN:
-        raise WireError(name, field, f"not a whole number: {text!r}")
+    if not 0 <= value <= _MAX_INTEGER:
+        raise WireError(message_name, field, f"expected an integer from 0 to 2**63, got {text!r}")
     return value
 
 
-def _optional_whole(name: str, field: str, text: str) -> int:
-    return 0 if text == "-" else _whole(name, field, text)
+def _parse_optional_integer(message_name: str, field: str, text: str) -> int:
+    """Parse an integer; an absent one counts as 0."""
+    return 0 if text == "-" else _parse_integer(message_name, field, text)
 
 
-def _text(text: str) -> str | None:
+def _parse_optional_text(text: str) -> str | None:
     return None if text == "-" else text
 
 
-def _result(name: str, text: str) -> api.Result:
+def _parse_result(message_name: str, text: str) -> api.Result:
     try:
         return _RESULTS[text]
     except KeyError:
-        raise WireError(name, "Status", f"unknown outcome {text!r}") from None
+        raise WireError(message_name, "Status", f"unknown result {text!r}") from None
 
 
-def _bool(name: str, field: str, text: str) -> bool:
+def _parse_bool(message_name: str, field: str, text: str) -> bool:
     if text not in ("0", "1"):
-        raise WireError(name, field, f"not a bool: {text!r}")
+        raise WireError(message_name, field, f"expected 0 or 1, got {text!r}")
     return text == "1"
 
 
-def _report(name: str, text: str) -> dict[str, float]:
+def _parse_report(message_name: str, text: str) -> dict[str, float]:
+    """Parse `key:value` pairs separated by commas; `-` and an empty text stand for none."""
     report: dict[str, float] = {}
     if text not in ("-", ""):
         for part in text.split(","):
             key, _, value = part.partition(":")
-            report[key] = _number(name, "Report", value)
+            report[key] = _parse_number(message_name, "Report", value)
     return report
 
 
-def _decode_boot(p: list[str]) -> Boot:
-    return Boot(_whole("boot", "Entropy", p[2]), read_settings(parse_pairs(p[3:])))
+def _decode_boot(fields: list[str]) -> Boot:
+    return Boot(_parse_integer("boot", "Entropy", fields[2]), read_settings(parse_pairs(fields[3:])))
 
 
-def _decode_halt(_p: list[str]) -> Halt:
+def _decode_halt(_fields: list[str]) -> Halt:
     return Halt()
 
 
-def _decode_request(p: list[str]) -> api.RequestArrived:
-    flags = _optional_whole("demand", "Opts", p[9])
-    hint = _number("demand", "Effort", p[6]) * 1000.0 if p[6] != "-" and flags & _HINT_VALID else None
+def _decode_demand(fields: list[str]) -> api.RequestArrived:
+    # Effort is in milliseconds of work a second; loads in the decision module are in microseconds.
+    flags = _parse_optional_integer("demand", "Opts", fields[9])
+    hint = (
+        _parse_number("demand", "Effort", fields[6]) * 1000.0
+        if fields[6] != "-" and flags & _HINT_VALID_FLAG
+        else None
+    )
     return api.RequestArrived(
         api.Request(
-            p[2],
-            _whole("demand", "Class", p[3]),
-            _number("demand", "Budget", p[4]),
-            _optional_whole("demand", "UserGroup", p[5]),
+            fields[2],
+            _parse_integer("demand", "Class", fields[3]),
+            _parse_number("demand", "Budget", fields[4]),
+            _parse_optional_integer("demand", "UserGroup", fields[5]),
             hint,
-            _text(p[7]),
-            _text(p[8]),
-            bool(flags & _RETURNING),
+            _parse_optional_text(fields[7]),
+            _parse_optional_text(fields[8]),
+            bool(flags & _RETURNING_FLAG),
         )
     )
 
 
-def _decode_adopted(p: list[str]) -> api.ConnectionAdopted:
-    flags = _optional_whole("adopted", "Opts", p[9])
-    hint = _number("adopted", "Effort", p[7]) * 1000.0 if p[7] != "-" and flags & _HINT_VALID else None
-    budget = 0.0 if p[6] == "-" else _number("adopted", "Budget", p[6])
+def _decode_adopted(fields: list[str]) -> api.ConnectionAdopted:
+    # Effort is in milliseconds of work a second; loads in the decision module are in microseconds.
+    flags = _parse_optional_integer("adopted", "Opts", fields[9])
+    hint = (
+        _parse_number("adopted", "Effort", fields[7]) * 1000.0
+        if fields[7] != "-" and flags & _HINT_VALID_FLAG
+        else None
+    )
+    budget = 0.0 if fields[6] == "-" else _parse_number("adopted", "Budget", fields[6])
     request = api.Request(
-        p[2],
-        _whole("adopted", "Class", p[3]),
+        fields[2],
+        _parse_integer("adopted", "Class", fields[3]),
         budget,
-        _optional_whole("adopted", "UserGroup", p[4]),
+        _parse_optional_integer("adopted", "UserGroup", fields[4]),
         hint,
-        _text(p[5]),
-        _text(p[8]),
-        bool(flags & _RETURNING),
+        _parse_optional_text(fields[5]),
+        _parse_optional_text(fields[8]),
+        bool(flags & _RETURNING_FLAG),
     )
-    return api.ConnectionAdopted(request, p[10])
+    return api.ConnectionAdopted(request, fields[10])
 
 
-def _decode_up(p: list[str]) -> api.ConnectionUp:
-    name = "under_way"
-    return api.ConnectionUp(p[2], _whole(name, "Copy", p[3]), p[5], _number(name, "Spent", p[4]))
+def _decode_under_way(fields: list[str]) -> api.ConnectionUp:
+    message_name = "under_way"
+    return api.ConnectionUp(
+        fields[2],
+        _parse_integer(message_name, "Copy", fields[3]),
+        fields[5],
+        _parse_number(message_name, "Spent", fields[4]),
+    )
 
 
-def _decode_note(p: list[str]) -> api.LoadReported | api.DelayReported | None:
-    attempt, level = _whole("note", "Copy", p[3]), _number("note", "Level", p[6])
-    what = _whole("note", "What", p[5])
-    if what == 1:
-        return api.LoadReported(p[2], attempt, p[4], level)
-    if what == 2:
-        return api.DelayReported(p[2], attempt, p[4], level)
-    return None  # a kind of news that is not known here is passed over
+def _decode_note(fields: list[str]) -> api.LoadReported | api.DelayReported | None:
+    attempt, level = _parse_integer("note", "Copy", fields[3]), _parse_number("note", "Level", fields[6])
+    report_kind = _parse_integer("note", "What", fields[5])
+    if report_kind == 1:  # the level is a load in microseconds of work a second
+        return api.LoadReported(fields[2], attempt, fields[4], level)
+    if report_kind == 2:  # the level is the delay of a message in milliseconds
+        return api.DelayReported(fields[2], attempt, fields[4], level)
+    return None  # other kinds of reports are ignored
 
 
-def _decode_outcome(p: list[str]) -> api.AttemptEnded:
-    name = "answer"
-    _report(name, p[8])
+def _decode_answer(fields: list[str]) -> api.AttemptEnded:
+    message_name = "answer"
+    _parse_report(message_name, fields[8])  # checked only: the decision module does not use it
     return api.AttemptEnded(
-        p[2],
-        _whole(name, "Copy", p[3]),
-        p[4],
-        _bool(name, "Final", p[5]),
-        _number(name, "Spent", p[6]),
-        _result(name, p[7]),
+        fields[2],
+        _parse_integer(message_name, "Copy", fields[3]),
+        fields[4],
+        _parse_bool(message_name, "Final", fields[5]),
+        _parse_number(message_name, "Spent", fields[6]),
+        _parse_result(message_name, fields[7]),
     )
 
 
-def _decode_dropped(p: list[str]) -> api.ClientLeft:
-    return api.ClientLeft(p[2])
+def _decode_dropped(fields: list[str]) -> api.ClientLeft:
+    return api.ClientLeft(fields[2])
 
 
-def _decode_timer(p: list[str]) -> api.TimerFired:
-    return api.TimerFired(_whole("deadline_hit", "KeyBack", p[2]))
+def _decode_deadline_hit(fields: list[str]) -> api.TimerFired:
+    return api.TimerFired(_parse_integer("deadline_hit", "KeyBack", fields[2]))
 
 
-def _decode_pong(p: list[str]) -> api.ProbeAnswered:
-    _number("pong", "Spent", p[2])
-    return api.ProbeAnswered(p[3], _result("pong", p[4]), _report("pong", p[5]))
+def _decode_pong(fields: list[str]) -> api.ProbeAnswered:
+    _parse_number("pong", "Spent", fields[2])  # checked only: the decision module does not use it
+    return api.ProbeAnswered(fields[3], _parse_result("pong", fields[4]), _parse_report("pong", fields[5]))
 
 
-def _decode_whisper(_p: list[str]) -> None:
-    return None  # balancers share nothing: a peer's message decides nothing
+def _decode_whisper(_fields: list[str]) -> None:
+    return None  # balancers share no state, so messages between them are ignored
 
 
-_FIELDS = {
+# Names of the fields that follow the name of each message.
+_FIELD_NAMES = {
     "boot": ("I", "Entropy"),
     "halt": ("I",),
     "demand": ("I", "Ticket", "Class", "Budget", "UserGroup", "Effort", "Subject", "Group", "Opts"),
@@ -209,135 +240,151 @@
     "server": ("Server", "RegionPart", "Kind", "Pod", "Mode", "Units", "Born"),
     "frame": ("Clock",),
 }
-_DECODERS: dict[str, Callable[[list[str]], Boot | Halt | api.Event | None]] = {
+_EVENT_DECODERS: dict[str, Callable[[list[str]], Boot | Halt | api.Event | None]] = {
     "boot": _decode_boot,
     "halt": _decode_halt,
-    "demand": _decode_request,
+    "demand": _decode_demand,
     "adopted": _decode_adopted,
-    "under_way": _decode_up,
+    "under_way": _decode_under_way,
     "note": _decode_note,
-    "answer": _decode_outcome,
+    "answer": _decode_answer,
     "dropped": _decode_dropped,
-    "deadline_hit": _decode_timer,
+    "deadline_hit": _decode_deadline_hit,
     "pong": _decode_pong,
     "whisper": _decode_whisper,
 }
 
 
-def _check_length(p: list[str]) -> None:
-    fields = _FIELDS[p[0]]
-    if len(p) <= len(fields):
-        raise WireError(p[0], fields[len(p) - 1], "field is missing")
+def _check_length(fields: list[str]) -> None:
+    field_names = _FIELD_NAMES[fields[0]]
+    if len(fields) <= len(field_names):
+        raise WireError(fields[0], field_names[len(fields) - 1], "field is missing")
 
 
 class Decoder:
-    """Reads one process's input; keeps the numbered lists, which belong to no instance."""
+    """Decodes the input of one process.
+
+    It keeps the numbered server lists that `catalog` messages define and `endpoints` messages refer to. They
+    are shared by all instances, and stay from batch to batch until they are defined anew.
+    """
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[api.Server, ...]] = {}
-        self._filling = -1
-        self._expected = 0
-        self._entries: list[api.Server] = []
-
-    def frame(self, line: str) -> float:
-        """The clock of a batch, from its first line."""
-        p = line.split("\t")
-        if p[0] != "frame":
-            raise WireError(p[0] or "(empty)", "name", "a batch must start with frame")
-        _check_length(p)
-        return _number("frame", "Clock", p[1])
-
-    def decode(self, line: str) -> Message | None:
-        """One line inside a batch; `None` where it asks nothing of an instance."""
-        p = line.split("\t")
-        name = p[0]
-        if self._expected:
-            self._entry(p)
+        self._list_number = -1  # of the list whose entries arrive at present; -1 before the first
+        self._entries_missing = 0  # entries of that list that have not arrived
+        self._entries: list[api.Server] = []  # entries of that list that have arrived
+
+    def decode_frame(self, line: str) -> float:
+        """Return the clock of a batch in milliseconds, from the batch's first line.
+
+        Raises `WireError` if the line is not a valid `frame`.
+        """
+        fields = line.split("\t")
+        if fields[0] != "frame":
+            raise WireError(fields[0] or "(empty)", "name", "a batch must start with frame")
+        _check_length(fields)
+        return _parse_number("frame", "Clock", fields[1])
+
+    def decode(self, line: str) -> InstanceEvent | None:
+        """Decode one line inside a batch; return `None` if it holds no event for an instance.
+
+        Raises `WireError` if the line is malformed or unexpected.
+        """
+        fields = line.split("\t")
+        message_name = fields[0]
+        if self._entries_missing:
+            self._add_entry(fields)
             return None
-        decoder = _DECODERS.get(name)
-        if decoder is not None:
-            _check_length(p)
-            event = decoder(p)
-            return None if event is None else (p[1], event)
-        if name == "endpoints":
-            return p[1] if len(p) > 1 else "", self._roster(p)
-        if name == "catalog":
-            self._catalog(p)
+        decode_event = _EVENT_DECODERS.get(message_name)
+        if decode_event is not None:
+            _check_length(fields)
+            event = decode_event(fields)
+            return None if event is None else (fields[1], event)
+        if message_name == "endpoints":
+            return fields[1] if len(fields) > 1 else "", self._decode_endpoints(fields)
+        if message_name == "catalog":
+            self._start_list(fields)
             return None
-        raise WireError(name or "(empty)", "name", "unknown message")
-
-    def end(self) -> None:
-        """Called at the end of a batch: no list may be half told."""
-        if self._expected:
-            raise WireError("catalog", "Elements", f"{self._expected} entries are missing")
-
-    def _catalog(self, p: list[str]) -> None:
-        _check_length(p)
-        number = _whole("catalog", "Table", p[1])
-        if number >= _LISTS:
-            raise WireError("catalog", "Table", f"list number out of range: {number}")
-        self._filling, self._entries = number, []
-        self._expected = _whole("catalog", "Elements", p[2])
-        if not self._expected:
-            self._lists[number] = ()
-
-    def _entry(self, p: list[str]) -> None:
-        if p[0] != "server":
-            raise WireError(p[0] or "(empty)", "name", f"{self._expected} list entries are still to come")
-        _check_length(p)
+        raise WireError(message_name or "(empty)", "name", "unknown message")
+
+    def check_batch_end(self) -> None:
+        """Raise `WireError` if the batch ends before all entries of a server list have arrived."""
+        if self._entries_missing:
+            raise WireError("catalog", "Elements", f"{self._entries_missing} entries are missing")
+
+    def _start_list(self, fields: list[str]) -> None:
+        _check_length(fields)
+        list_number = _parse_integer("catalog", "Table", fields[1])
+        if list_number >= _MAX_LISTS:
+            raise WireError("catalog", "Table", f"list number out of range: {list_number}")
+        self._list_number, self._entries = list_number, []
+        self._entries_missing = _parse_integer("catalog", "Elements", fields[2])
+        if not self._entries_missing:
+            self._lists[list_number] = ()
+
+    def _add_entry(self, fields: list[str]) -> None:
+        if fields[0] != "server":
+            raise WireError(
+                fields[0] or "(empty)",
+                "name",
+                f"expected {self._entries_missing} more server messages of the list",
+            )
+        _check_length(fields)
         try:
-            state = _STATES[p[5]]
+            state = _SERVER_STATES[fields[5]]
         except KeyError:
-            raise WireError("server", "Mode", f"unknown state {p[5]!r}") from None
+            raise WireError("server", "Mode", f"unknown state {fields[5]!r}") from None
         self._entries.append(
             api.Server(
-                p[1],
-                _whole("server", "RegionPart", p[2]),
-                _whole("server", "Kind", p[3]),
-                _whole("server", "Pod", p[4]),
+                fields[1],
+                _parse_integer("server", "RegionPart", fields[2]),
+                _parse_integer("server", "Kind", fields[3]),
+                _parse_integer("server", "Pod", fields[4]),
                 state,
-                _number("server", "Units", p[6]) if p[6] != "-" else 1.0,
-                _number("server", "Born", p[7]) if p[7] != "-" else 0.0,
+                _parse_number("server", "Units", fields[6]) if fields[6] != "-" else 1.0,
+                _parse_number("server", "Born", fields[7]) if fields[7] != "-" else 0.0,
             )
         )
-        self._expected -= 1
-        if not self._expected:
-            self._lists[self._filling] = tuple(self._entries)
+        self._entries_missing -= 1
+        if not self._entries_missing:
+            self._lists[self._list_number] = tuple(self._entries)
 
-    def _roster(self, p: list[str]) -> api.ServerListChanged | api.ServerListFailed:
-        _check_length(p)
-        if p[2] == "X":
+    def _decode_endpoints(self, fields: list[str]) -> api.ServerListChanged | api.ServerListFailed:
+        _check_length(fields)
+        if fields[2] == "X":
             return api.ServerListFailed()
-        kind = _KINDS.get(p[2])
-        if kind is None:
-            raise WireError("endpoints", "Scope", f"unknown kind {p[2]!r}")
-        number = _whole("endpoints", "Table", p[4])
-        if number not in self._lists:
-            raise WireError("endpoints", "Table", f"unknown catalog number {number}")
-        return api.ServerListChanged(kind, self._lists[number])
+        list_kind = _SERVER_LIST_KINDS.get(fields[2])
+        if list_kind is None:
+            raise WireError("endpoints", "Scope", f"unknown list kind {fields[2]!r}; expected D, F, C or X")
+        list_number = _parse_integer("endpoints", "Table", fields[4])
+        if list_number not in self._lists:
+            raise WireError("endpoints", "Table", f"unknown catalog number {list_number}")
+        return api.ServerListChanged(list_kind, self._lists[list_number])
 
 
-def _one_line(text: str) -> str:
+def _join_lines(text: str) -> str:
     return " ".join(text.split())
 
 
 _ENCODERS: dict[type[Any], Callable[[str, Any], str]] = {
-    api.Attempt: lambda i, a: f"attempt\t{i}\t{a.request}\t{a.server}\t{a.timeout:.3f}",
-    api.Refuse: lambda i, a: f"not_now\t{i}\t{a.request}\t{a.retry_after:.3f}",
-    api.Fail: lambda i, a: f"fail\t{i}\t{a.request}",
-    api.Move: lambda i, a: f"bounce\t{i}\t{a.request}",
-    api.SetTimer: lambda i, a: f"set_alarm\t{i}\t{a.token}\t{a.delay:.3f}",
-    api.WatchServerList: lambda i, a: f"watch\t{i}\t1",
-    api.Probe: lambda i, a: f"ask_load\t{i}\t{a.server}",
-    api.Note: lambda i, a: f"record\t{i}\t{_one_line(a.text)}",
+    api.Attempt: lambda name, action: (
+        f"attempt\t{name}\t{action.request}\t{action.server}\t{action.timeout:.3f}"
+    ),
+    api.Refuse: lambda name, action: f"not_now\t{name}\t{action.request}\t{action.retry_after:.3f}",
+    api.Fail: lambda name, action: f"fail\t{name}\t{action.request}",
+    api.Move: lambda name, action: f"bounce\t{name}\t{action.request}",
+    api.SetTimer: lambda name, action: f"set_alarm\t{name}\t{action.token}\t{action.delay:.3f}",
+    api.WatchServerList: lambda name, action: f"watch\t{name}\t1",
+    api.Probe: lambda name, action: f"ask_load\t{name}\t{action.server}",
+    api.Note: lambda name, action: f"record\t{name}\t{_join_lines(action.text)}",
 }
 
 
 def encode(instance: str, action: api.Action) -> str:
-    """One action as a line."""
+    """Return the output line for an action of the named instance."""
     return _ENCODERS[type(action)](instance, action)
 
 
 def encode_error(instance: str, error: BaseException) -> str:
-    """The line that declares an instance's decision code broken."""
-    return f"internal_error\t{instance}\t{_one_line(f'{type(error).__name__}: {error}')}"
+    """Return the output line which reports that an instance's decision code raised an exception."""
+    return f"internal_error\t{instance}\t{_join_lines(f'{type(error).__name__}: {error}')}"
