--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The variants of customers' sites, and the script that lays them, on a made-up site."""
+"""The variants of customers' sites, and the script that creates sites from them, on a made-up site."""
 
 from __future__ import annotations
 
@@ -23,13 +23,16 @@
 """
 
 
-def lay(path: Path, variant: str, site: str = SITE, beside: bool = True) -> tuple[int, str, str]:
+def run_script(
+    path: Path, variant: str, site: str = SITE, with_companions: bool = True
+) -> tuple[int, str, str]:
+    """Create a site in `path` by the script; return its exit status, output and errors."""
     (path / "customer").mkdir()
     (path / "customer" / "site.toml").write_text(site)
-    for name in ("real.json", "wire.json", "unlock.txt") if beside else ():
+    for name in ("real.json", "wire.json", "unlock.txt") if with_companions else ():
         (path / "customer" / name).write_text(name)
     (path / "quay.toml").write_text(variant)
-    done = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "deploy/sites/lay.py",
@@ -42,10 +45,10 @@
         text=True,
         timeout=60,
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
-def test_a_site_is_laid_whole_with_the_changes_and_nothing_else_changed(tmp_path: Path) -> None:
+def test_created_site_has_all_files_and_only_the_variants_changes(tmp_path: Path) -> None:
     variant = """[change]
 name = "quay"
 "class.1.name" = "tide"
@@ -53,50 +56,53 @@
 [add]
 "class.1.group" = "zone"
 """
-    status, out, err = lay(tmp_path, variant)
+    status, out, err = run_script(tmp_path, variant)
     assert (status, err) == (0, "")
-    file = Path(out.strip())
+    site_file = Path(out.strip())
     expected = tomllib.loads(SITE)
     expected["name"], expected["load"]["hints"] = "quay", "none"
     expected["class"][1].update(name="tide", group="zone")
-    assert tomllib.loads(file.read_text()) == expected
-    beside = {each.name: each.read_text() for each in file.parent.iterdir() if each != file}
-    assert beside == {name: name for name in ("real.json", "wire.json", "unlock.txt")}
+    assert tomllib.loads(site_file.read_text()) == expected
+    companions = {each.name: each.read_text() for each in site_file.parent.iterdir() if each != site_file}
+    assert companions == {name: name for name in ("real.json", "wire.json", "unlock.txt")}
 
 
 @pytest.mark.parametrize(
-    ("variant", "says"),
+    ("variant", "expected_error"),
     [
         (
             '[change]\n"class.0.wroth" = 2\n',
-            "[change] class.0.wroth: expected one that the customer's file has",
+            "[change] class.0.wroth: expected a path that the customer's file has",
         ),
         ('[change]\n"class.7.name" = "x"\n', "[change] class.7.name: expected"),
         ('[change]\n"load.hints.more" = "x"\n', "[change] load.hints.more: expected"),
         ('[change]\n"no.such" = "x"\n', "[change] no.such: expected"),
-        ('[add]\n"class.0.name" = "x"\n', "[add] class.0.name: expected a place that it has not"),
+        (
+            '[add]\n"class.0.name" = "x"\n',
+            "[add] class.0.name: expected a path that the customer's file does not have",
+        ),
         ("[remove]\n", "remove: expected [change] or [add]"),
         ("name =", "quay.toml: expected a TOML file"),
     ],
 )
-def test_a_variant_that_does_not_fit_is_one_line_and_status_2(
-    tmp_path: Path, variant: str, says: str
+def test_variant_that_does_not_fit_gives_one_error_line_and_status_2(
+    tmp_path: Path, variant: str, expected_error: str
 ) -> None:
-    status, out, err = lay(tmp_path, variant)
+    status, out, err = run_script(tmp_path, variant)
     assert (status, out) == (2, "")
-    assert says in err and err.count("\n") == 1
+    assert expected_error in err and err.count("\n") == 1
     assert not (tmp_path / "laid").exists()
 
 
-def test_a_customers_folder_that_lacks_a_file_is_one_line_and_status_2(tmp_path: Path) -> None:
-    status, _, err = lay(tmp_path, "", beside=False)
+def test_missing_files_beside_customer_file_give_one_error_line_and_status_2(tmp_path: Path) -> None:
+    status, _, err = run_script(tmp_path, "", with_companions=False)
     assert status == 2
     assert "expected real.json, wire.json, unlock.txt beside site.toml" in err and err.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    "file", sorted((ROOT / "deploy" / "sites").glob("*.toml")), ids=lambda file: file.stem
+    "variant_file", sorted((ROOT / "deploy" / "sites").glob("*.toml")), ids=lambda path: path.stem
 )
-def test_each_variant_says_what_it_changes(file: Path) -> None:
-    assert file.read_text().startswith("# Of ")
-    assert set(tomllib.loads(file.read_text())) <= {"change", "add"}
+def test_each_variant_names_its_customer_site_and_has_only_known_sections(variant_file: Path) -> None:
+    assert variant_file.read_text().startswith("# Variant of ")
+    assert set(tomllib.loads(variant_file.read_text())) <= {"change", "add"}
