--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,13 +1,13 @@
-"""Which tests start processes: they have the machine to themselves, all others run side by side.
+"""Marks the tests that start processes as `live`; these run alone, while all others run in parallel.
 
-Owns: that list. Must never: skip a test.
+Every test runs in one of the two groups; none is skipped here.
 """
 
 from __future__ import annotations
 
 import pytest
 
-LIVE = frozenset(
+LIVE_TEST_FILES = frozenset(
     (
         "admission",
         "config",
@@ -26,10 +26,10 @@
         "upgrades",
         "wire",
     )
-)  # names of files, less `test_`
+)  # file names without the prefix `test_`
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
-        if item.path.stem.removeprefix("test_") in LIVE:
+        if item.path.stem.removeprefix("test_") in LIVE_TEST_FILES:
             item.add_marker(pytest.mark.live)
