--- a/switchhub/lab/cli.py
+++ b/switchhub/lab/cli.py
@@ -19,11 +19,11 @@
 
 from switchhub.lab import scenario as scenarios
 from switchhub.lab.baselines import POLICIES
-from switchhub.lab.runs import Job, play_all, play_shown
+from switchhub.lab.runs import Job, run_job_with_progress, run_jobs
 from switchhub.lab.scenario import Scenario, ScenarioError
 from switchhub.lab.tally import dump
 
-SHELF = Path(__file__).parent.parent.parent / "lab" / "scenarios"
+SCENARIO_DIRECTORY = Path(__file__).parent.parent.parent / "lab" / "scenarios"
 LARGE = 20_000  # standing connections beyond which a scenario is left out of tables unless it is named
 
 
@@ -201,7 +201,7 @@
 
 def shelf() -> list[Scenario]:
     """The project's own scenarios that a table can hold."""
-    return [each for each in read_all(sorted(SHELF.glob("*.toml"))) if each.standing <= LARGE]
+    return [each for each in read_all(sorted(SCENARIO_DIRECTORY.glob("*.toml"))) if each.standing <= LARGE]
 
 
 def write(path: Path | None, data: Any) -> None:
@@ -254,7 +254,9 @@
 
         result = runner.play(scenario, told.seed, told.against)
     else:
-        result = play_shown(Job(scenario, told.seed, told.policy, told.against, told.keep_on or None))
+        result = run_job_with_progress(
+            Job(scenario, told.seed, told.policy, told.against, told.keep_on or None)
+        )
     write(told.json, result)
     if told.plot:
         _draw(result, told.plot)
@@ -266,9 +268,9 @@
 
     found = read_all(told.files) if told.files else shelf()
     jobs = [Job(each, seed, policy) for each in found for policy in told.policies for seed in told.seeds]
-    rows = report.rows(play_all(jobs, told.workers))
+    rows = report.summarize(run_jobs(jobs, told.workers))
     write(told.json, rows)
-    print(report.table(rows, told.policies))
+    print(report.format_table(rows, told.policies))
     return 1 if any(row["policy"] == "design" and row["broken"] for row in rows) else 0
 
 
@@ -281,11 +283,11 @@
         against = None if name in POLICIES else checkout(name)
         policy = name if against is None else "design"
         sides.append([Job(scenario, seed, policy, against) for seed in told.seeds])
-    results = play_all(sides[0] + sides[1], told.workers)
+    results = run_jobs(sides[0] + sides[1], told.workers)
     half = len(told.seeds)
-    found = report.compare(told.a, told.b, results[:half], results[half:])
+    found = report.compare_runs(told.a, told.b, results[:half], results[half:])
     write(told.json, found)
-    print(report.comparison(found))
+    print(report.format_comparison(found))
     return 0
 
 
--- a/switchhub/lab/hunt.py
+++ b/switchhub/lab/hunt.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from switchhub.lab.runs import Job, play_all, play_one
+from switchhub.lab.runs import Job, run_job, run_jobs
 from switchhub.lab.scenario import Scenario, ScenarioError, parse
 
 BROKEN = 10.0  # what a broken rule counts as
@@ -109,7 +109,7 @@
 def measure(data: dict[str, Any], seed: int) -> Found:
     """Play the design and the oracle."""
     scenario = parse(data)
-    return judged(data, seed, [play_one(Job(scenario, seed, policy)) for policy in ("design", "oracle")])
+    return judged(data, seed, [run_job(Job(scenario, seed, policy)) for policy in ("design", "oracle")])
 
 
 def smaller(data: dict[str, Any]) -> Iterator[dict[str, Any]]:
@@ -158,7 +158,7 @@
     return found
 
 
-def to_toml(data: dict[str, Any]) -> str:
+def scenario_to_toml(data: dict[str, Any]) -> str:
     """A scenario's data as a file; only what scenarios hold is written: figures, words, lists of words,
     tables."""
     plain: list[str] = []
@@ -197,7 +197,7 @@
         except ScenarioError as error:
             raise RuntimeError(f"a drawn scenario does not serve: {error}") from None
     jobs = [Job(scenario, one, policy) for _, one, scenario in drawn for policy in ("design", "oracle")]
-    results = play_all(jobs, workers)
+    results = run_jobs(jobs, workers)
     found = [
         judged(data, one, results[2 * index : 2 * index + 2]) for index, (data, one, _) in enumerate(drawn)
     ]
@@ -211,7 +211,7 @@
         what = f"breaks: {small.broken}" if small.broken else f"loses {small.loss:.3f} to the oracle"
         data = {**small.data, "shows": f"Found by lab hunt, seed {small.seed}: {what}"}
         path = out / f"{data['name']}.toml"
-        path.write_text(to_toml(data), encoding="utf-8")
+        path.write_text(scenario_to_toml(data), encoding="utf-8")
         before, after = len(each.data["troubles"]), len(data["troubles"])
         count = [sum(group["count"] for group in one["servers"]) for one in (each.data, data)]
         print(f"{path}: {what}; troubles {before} -> {after}, servers {count[0]} -> {count[1]}")
--- a/switchhub/lab/report.py
+++ b/switchhub/lab/report.py
@@ -15,14 +15,14 @@
 from rich.table import Table
 from scipy import stats
 
-from switchhub.lab.runs import Job, play_one
+from switchhub.lab.runs import Job, run_job
 from switchhub.lab.scenario import Scenario
 
 CONFIDENCE = 0.95
 NEAR = 0.10  # by how much the two engines' service may differ
 
 
-def rows(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def summarize(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """One row for each scenario and policy: mean service over the seeds, worst, broken rules, servers that
     fell."""
     found: dict[tuple[str, str], list[dict[str, Any]]] = {}
@@ -48,7 +48,7 @@
     return text.getvalue().rstrip()
 
 
-def table(found: list[dict[str, Any]], policies: list[str]) -> str:
+def format_table(found: list[dict[str, Any]], policies: list[str]) -> str:
     """Scenarios down, policies across; `!` marks a broken rule, and how often servers fell stands in
     brackets."""
     out = Table(title=f"service, mean of {found[0]['seeds']} seeds", box=None, pad_edge=False)
@@ -80,7 +80,7 @@
     return f"{row['service']:.3f}{'!' if row['broken'] else ''}{fell}"
 
 
-def compare(a: str, b: str, left: list[dict[str, Any]], right: list[dict[str, Any]]) -> dict[str, Any]:
+def compare_runs(a: str, b: str, left: list[dict[str, Any]], right: list[dict[str, Any]]) -> dict[str, Any]:
     """Paired by seed: the mean difference b - a and Student's interval for it."""
     gaps = np.array([two["service"] - one["service"] for one, two in zip(left, right, strict=True)])
     if len(gaps) < 2:
@@ -107,7 +107,7 @@
     }
 
 
-def comparison(found: dict[str, Any]) -> str:
+def format_comparison(found: dict[str, Any]) -> str:
     """A comparison in words."""
     head = (
         f"{found['scenario']}, {len(found['seeds'])} seeds: {found['a']} {found['service_a']:.4f}, "
@@ -130,7 +130,7 @@
     bad = 0
     print(f"{'scenario':18} {'model':>7} {'live':>7} {'apart':>7}  note")
     for scenario in found:
-        modelled, live = play_one(Job(scenario, seed)), runner.play(scenario, seed)
+        modelled, live = run_job(Job(scenario, seed)), runner.play(scenario, seed)
         apart = abs(modelled["service"] - live["service"])
         note = "unfit: " + live["unfit"] if live.get("unfit") else ""
         for name, each in (("model", modelled), ("live", live)):
--- a/switchhub/lab/runs.py
+++ b/switchhub/lab/runs.py
@@ -30,42 +30,42 @@
     scenario: Scenario
     seed: int
     policy: str = "design"
-    against: Path | None = None
+    other_checkout: Path | None = None
     keep_on: bool | None = None
 
 
-def play_one(job: Job, passed: Callable[[float], None] | None = None) -> dict[str, Any]:
+def run_job(job: Job, passed: Callable[[float], None] | None = None) -> dict[str, Any]:
     """The result of one job. A broken rule ends a run of the design, other policies go on.
 
     `passed` is told of the virtual time, in seconds, as it goes."""
-    if job.against is not None:
+    if job.other_checkout is not None:
         from switchhub.lab.earlier import maker
 
-        make = maker(job.against)
+        make = maker(job.other_checkout)
     else:
         make = model.maker(job.policy)
     keep_on = job.policy != "design" if job.keep_on is None else job.keep_on
     played = model.Run(job.scenario, job.seed, make, keep_on=keep_on, passed=passed).play()
-    name = job.policy if job.against is None else "against"
+    name = job.policy if job.other_checkout is None else "against"
     return result(job.scenario, job.seed, "model", name, played.tally, played.broken, played.met)
 
 
-def play_shown(job: Job) -> dict[str, Any]:
+def run_job_with_progress(job: Job) -> dict[str, Any]:
     """The same, with progress on a terminal's standard error."""
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty(), transient=True) as progress:
         shown = progress.add_task(job.scenario.name, total=job.scenario.seconds)
-        return play_one(job, lambda now: progress.update(shown, completed=now))
+        return run_job(job, lambda now: progress.update(shown, completed=now))
 
 
 def _ignore_interrupts() -> None:
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends its workers
 
 
-def play_all(jobs: list[Job], workers: int = 0) -> list[dict[str, Any]]:
+def run_jobs(jobs: list[Job], workers: int = 0) -> list[dict[str, Any]]:
     """All results, in the order of the jobs; progress on a terminal's standard error."""
     workers = min(workers or os.cpu_count() or 1, max(1, len(jobs)))
     if workers == 1:
-        return [play_one(job) for job in jobs]
+        return [run_job(job) for job in jobs]
     out: list[dict[str, Any]] = []
     console = Console(stderr=True)
     with (
@@ -74,7 +74,7 @@
     ):
         shown = progress.add_task("playing", total=len(jobs))
         try:
-            for each in pool.map(play_one, jobs):
+            for each in pool.map(run_job, jobs):
                 out.append(each)
                 progress.advance(shown)
         except KeyboardInterrupt:
--- a/switchhub/lab/callers.py
+++ b/switchhub/lab/stats_poller.py
@@ -20,7 +20,7 @@
 CALL = b"GET /stats HTTP/1.1\r\nHost: balancer\r\n\r\n"
 
 
-class Callers:
+class StatsPoller:
     """Calls for the figures, one after the other, beside so many silent callers that always come back."""
 
     def __init__(self, at: tuple[str, int], silent: int) -> None:
--- a/switchhub/lab/storm.py
+++ b/switchhub/lab/storm.py
@@ -20,9 +20,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from switchhub.lab.callers import Callers
 from switchhub.lab.live.runner import ROOT
 from switchhub.lab.perf import Names, Stand, setups
+from switchhub.lab.stats_poller import StatsPoller
 
 WORKERS = 4
 SETTLE = 0.5  # seconds between the calm rate and the storm
@@ -63,7 +63,7 @@
     checkout: Path, clients: int, wait_ms: int, rate: float, folder: Path, silent: int | None
 ) -> dict[str, Any]:
     stand, names = Stand(checkout, 5000, folder, silent is not None), Names()
-    callers = Callers(stand.management, silent or 0) if silent is not None else None
+    callers = StatsPoller(stand.management, silent or 0) if silent is not None else None
     workers: list[asyncio.subprocess.Process] = []
     try:
         await stand.start()
--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -12,14 +12,14 @@
 
 from switchhub.lab import hunt
 from switchhub.lab.cli import main
-from switchhub.lab.hunt import Found, draw, shrink, smaller, to_toml
+from switchhub.lab.hunt import Found, draw, scenario_to_toml, shrink, smaller
 from switchhub.lab.scenario import parse
 
 
 @pytest.mark.parametrize("number", range(60))
 def test_what_is_drawn_serves_and_reads_back(number: int) -> None:
     data = draw(Random(number), number)
-    assert parse(tomllib.loads(to_toml(data))) == parse(data)
+    assert parse(tomllib.loads(scenario_to_toml(data))) == parse(data)
 
 
 def test_shrinking_keeps_the_broken_rule_and_takes_the_rest_away() -> None:
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -15,7 +15,7 @@
 import pytest
 
 from switchhub.lab.cli import main
-from switchhub.lab.hunt import to_toml
+from switchhub.lab.hunt import scenario_to_toml
 from switchhub.lab.live import runner
 from tests.lab.small import data, small, trouble
 
@@ -89,7 +89,7 @@
 
 def test_what_does_not_fit_is_refused_before_anything_starts(tmp_path: Path, capsys: Any) -> None:
     file = tmp_path / "wide.toml"
-    file.write_text(to_toml(data(balancers={"count": 200})))
+    file.write_text(scenario_to_toml(data(balancers={"count": 200})))
     begin = time.monotonic()
     assert main(["run", str(file), "--engine", "live"]) == 2
     assert time.monotonic() - begin < 2.0
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -11,8 +11,8 @@
 import pytest
 
 from switchhub.lab.baselines import POLICIES
-from switchhub.lab.report import compare, comparison, rows, table
-from switchhub.lab.runs import Job, play_all, play_one
+from switchhub.lab.report import compare_runs, format_comparison, format_table, summarize
+from switchhub.lab.runs import Job, run_job, run_jobs
 from switchhub.lab.scenario import Scenario
 from switchhub.lab.tally import dump
 from tests.lab.small import small, trouble
@@ -21,7 +21,7 @@
 
 
 def service(scenario: Scenario, policy: str = "design", seed: int = 1) -> float:
-    found = play_one(Job(scenario, seed, policy))
+    found = run_job(Job(scenario, seed, policy))
     assert not found["broken"] or policy != "design"
     return float(found["service"])
 
@@ -40,7 +40,7 @@
         written.append(out.read_bytes())
     assert written[0] == written[1]
     jobs = [Job(small("cold"), seed, policy) for seed in (1, 2) for policy in ("design", "oracle")]
-    assert [dump(each) for each in play_all(jobs, 1)] == [dump(each) for each in play_all(jobs, 3)]
+    assert [dump(each) for each in run_jobs(jobs, 1)] == [dump(each) for each in run_jobs(jobs, 3)]
 
 
 @pytest.mark.parametrize("policy", POLICIES)
@@ -66,7 +66,7 @@
 
 
 def test_a_server_that_falls_stays_down() -> None:
-    found = play_one(Job(small("cold"), 1, "plain"))
+    found = run_job(Job(small("cold"), 1, "plain"))
     assert found["counts"]["servers.fallen"] == len(found["broken"]) > 0
 
 
@@ -75,7 +75,7 @@
         trouble("balancer-die", 1.0, seconds=1.5, meets=["b0"]),
         trouble("balancer-restart", 4.0, meets=["b1"]),
     ]
-    found = play_one(Job(small("calm", troubles=troubles, seconds=14.0), 1))
+    found = run_job(Job(small("calm", troubles=troubles, seconds=14.0), 1))
     assert not found["broken"]
     assert found["counts"]["clients.broken"] > 5 and found["counts"]["clients.moved"] > 5
     assert min(each for each in found["series"]["service"][-7:-1] if each is not None) > 0.95
@@ -83,21 +83,21 @@
 
 def test_a_comparison_says_what_is_shown_and_what_is_not() -> None:
     hung = small("calm", troubles=[trouble("hang", 2.0, meets=["s-0"])])
-    left = play_all([Job(hung, seed, "random") for seed in range(4)], 1)
-    right = play_all([Job(hung, seed, "design") for seed in range(4)], 1)
-    found = compare("random", "design", left, right)
+    left = run_jobs([Job(hung, seed, "random") for seed in range(4)], 1)
+    right = run_jobs([Job(hung, seed, "design") for seed in range(4)], 1)
+    found = compare_runs("random", "design", left, right)
     assert found["shown"] and found["low"] > 0
-    same = compare("design", "design", right, right)
+    same = compare_runs("design", "design", right, right)
     assert not same["shown"]
-    assert "no difference shown" in comparison(same)
-    assert "no difference shown" in comparison(compare("a", "b", left[:1], right[:1]))
-    text = table(rows(left + right), ["design", "random"])
+    assert "no difference shown" in format_comparison(same)
+    assert "no difference shown" in format_comparison(compare_runs("a", "b", left[:1], right[:1]))
+    text = format_table(summarize(left + right), ["design", "random"])
     assert "small" in text and "largest gaps" in text
 
 
 def test_another_checkout_decides_as_this_one_where_it_is_the_same() -> None:
-    ours = play_one(Job(small("cold"), 3))
-    theirs = play_one(Job(small("cold"), 3, against=ROOT))
+    ours = run_job(Job(small("cold"), 3))
+    theirs = run_job(Job(small("cold"), 3, other_checkout=ROOT))
     assert {**theirs, "policy": "design"} == ours
 
 
@@ -114,6 +114,6 @@
 def test_drains_told_while_first_lines_are_under_way_are_kept() -> None:
     far = {"within_ms": 120.0, "between_ms": 120.0}
     rolling = [trouble("rolling", 1.0, stride_s=2.5, drain_s=3.0, down_s=1.0)]
-    found = play_one(Job(small("cold", network=far, troubles=rolling), 1))
+    found = run_job(Job(small("cold", network=far, troubles=rolling), 1))
     assert not found["broken"]
     assert found["counts"]["attempt.not_sent"] > 0 and found["counts"]["attempt.full"] > 0
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from switchhub.lab.cli import SHELF, main
+from switchhub.lab.cli import SCENARIO_DIRECTORY, main
 from switchhub.lab.scenario import ScenarioError, parse, read
 from switchhub.lab.stand_in import StandIn, Verdict, places
 from switchhub.lab.timeline import FOREVER, Timeline, dead_spans, expand, heard
@@ -54,7 +54,7 @@
 
 
 def test_the_shelf_serves_and_each_says_what_it_shows() -> None:
-    found = [read(path) for path in sorted(SHELF.glob("*.toml"))]
+    found = [read(path) for path in sorted(SCENARIO_DIRECTORY.glob("*.toml"))]
     assert len(found) >= 16
     assert len({each.shows for each in found}) == len(found)
 
