--- a/switchhub/lab/cli.py
+++ b/switchhub/lab/cli.py
@@ -252,7 +252,7 @@
             return 2
         from switchhub.lab.live import runner
 
-        result = runner.play(scenario, told.seed, told.against)
+        result = runner.run_live(scenario, told.seed, told.against)
     else:
         result = run_job_with_progress(
             Job(scenario, told.seed, told.policy, told.against, told.keep_on or None)
@@ -311,7 +311,11 @@
     from switchhub.lab import report
     from switchhub.lab.live import runner
 
-    found = read_all(told.files) if told.files else [each for each in shelf() if runner.fits(each) is None]
+    found = (
+        read_all(told.files)
+        if told.files
+        else [each for each in shelf() if runner.unfit_reason(each) is None]
+    )
     return report.engines(found, told.seed)
 
 
--- a/switchhub/lab/faults/fleet.py
+++ b/switchhub/lab/faults/fleet.py
@@ -65,7 +65,7 @@
     Stand,
     configure,
 )
-from switchhub.lab.live.runner import ROOT, ports
+from switchhub.lab.live.runner import ROOT, free_ports
 
 EVERY = 0.02  # seconds between two clients, each to the next balancer
 MEET = 10.0  # seconds in which all are to know each other at the start
@@ -291,7 +291,7 @@
 
     async def play(self) -> Record:
         """The whole plan."""
-        self._clients_port, self._peers_port = ports(self._own["n0"], 2)
+        self._clients_port, self._peers_port = free_ports(self._own["n0"], 2)
         try:
             self._effects.bind(("127.0.0.1", 0))
             asyncio.get_running_loop().add_reader(self._effects, self._acted)
--- a/switchhub/lab/faults/upgrades.py
+++ b/switchhub/lab/faults/upgrades.py
@@ -42,7 +42,7 @@
     Stand,
     configure,
 )
-from switchhub.lab.live.runner import ports
+from switchhub.lab.live.runner import free_ports
 from switchhub.lab.scenario import Cold
 
 EVERY = 0.02  # seconds between two clients
@@ -135,7 +135,7 @@
 
     async def play(self) -> Record:
         """The whole plan."""
-        self._address = ports(self._host, 1)[0]
+        self._address = free_ports(self._host, 1)[0]
         try:
             discovery, listing = await self._stand_ins(["s0", "s1", "s2"], "s0" if self._cold else "")
             where = f"{self._host}:{self._address}"
--- a/switchhub/lab/live/clients.py
+++ b/switchhub/lab/live/clients.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from switchhub.lab.live.part import Part, Plan, reset, run, say
+from switchhub.lab.live.lab_process import LabProcess, Plan, reset_transport, run, say
 from switchhub.lab.model import FRONT_OUT, PROMPT
 from switchhub.lab.population import Client, Front, Patience, arrivals, standing
 from switchhub.lab.stand_in import places
@@ -94,7 +94,7 @@
             self.over = True
             self.host.record("left", self.name)
             if abruptly:
-                reset(self.transport)
+                reset_transport(self.transport)
             else:
                 self.transport.close()
 
@@ -120,7 +120,7 @@
             self.answered.set_result(False)
 
 
-class Clients(Part):
+class Clients(LabProcess):
     """All clients of the scenario."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
--- a/switchhub/lab/live/discovery.py
+++ b/switchhub/lab/live/discovery.py
@@ -15,7 +15,7 @@
 import httptools
 
 from switchhub.lab import told
-from switchhub.lab.live.part import Part, Plan, run, say
+from switchhub.lab.live.lab_process import LabProcess, Plan, run, say
 from switchhub.lab.stand_in import Place, places
 from switchhub.lab.timeline import Change, Heard, heard
 
@@ -110,7 +110,7 @@
         self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-class Discovery(Part):
+class Discovery(LabProcess):
     """One service for all balancers."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
--- a/switchhub/lab/live/part.py
+++ b/switchhub/lab/live/lab_process.py
@@ -38,7 +38,7 @@
         self.balancers: list[int] = data["balancers"]
 
 
-class Part:
+class LabProcess:
     """One process of a live run."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
@@ -112,7 +112,7 @@
     print(word, flush=True)
 
 
-def run(make: Callable[[Plan, Path], Part], serve: Callable[[Any], Awaitable[None]]) -> None:
+def run(make: Callable[[Plan, Path], LabProcess], serve: Callable[[Any], Awaitable[None]]) -> None:
     """The process: `PLAN RECORDS` are its arguments; it ends with its standard input."""
 
     async def main() -> None:
@@ -129,7 +129,7 @@
     uvloop.run(main())
 
 
-def reset(transport: asyncio.WriteTransport) -> None:
+def reset_transport(transport: asyncio.WriteTransport) -> None:
     """End a connection with a reset."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
--- a/switchhub/lab/live/runner.py
+++ b/switchhub/lab/live/runner.py
@@ -60,7 +60,7 @@
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
-def fits(scenario: Scenario) -> str | None:
+def unfit_reason(scenario: Scenario) -> str | None:
     """Why the scenario does not fit this machine; none if it does."""
     servers, lines = len(scenario.server_names()), scenario.standing / scenario.clients.message_every_s
     needed = 2 * scenario.standing + SPARE
@@ -77,13 +77,13 @@
     return None
 
 
-def address() -> str:
+def loopback_address() -> str:
     """A loopback address of this process's own: no other run, and no outgoing connection, takes its ports."""
     pid = os.getpid()
     return f"127.{64 + pid // 62_500 % 128}.{pid // 250 % 250}.{pid % 250 + 1}"
 
 
-def ports(host: str, count: int) -> list[int]:
+def free_ports(host: str, count: int) -> list[int]:
     """Free ports; all are held until the last is found, then given back for the stand-ins to take."""
     found: list[socket.socket] = []
     try:
@@ -107,8 +107,8 @@
         self.timeline = expand(scenario, seed)
         self.places = places(scenario)
         zones, count = len(scenario.zones), scenario.balancers.count
-        self.host = address()
-        free = iter(ports(self.host, len(self.places) * zones + 2 * count))
+        self.host = loopback_address()
+        free = iter(free_ports(self.host, len(self.places) * zones + 2 * count))
         self.plan: dict[str, Any] = {
             "scenario": scenario.model_dump(),
             "seed": seed,
@@ -126,7 +126,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._ending = False
         self._meant: set[int] = set()  # processes that we end ourselves
-        self.environ: dict[str, str] = {}  # what balancers are told besides
+        self.balancer_environment: dict[str, str] = {}  # what balancers are told besides
 
     def now(self) -> float:
         """Seconds since the start."""
@@ -136,7 +136,7 @@
         """Where a part writes what it saw."""
         return self.folder / f"{part}.records"
 
-    async def part(self, name: str) -> None:
+    async def start_lab_process(self, name: str) -> None:
         """Start one of the lab's processes."""
         plan = self.folder / "plan.json"
         self.parts[name] = await asyncio.create_subprocess_exec(
@@ -151,7 +151,7 @@
             start_new_session=True,
         )
 
-    async def ready(self, name: str, within: float) -> None:
+    async def wait_until_ready(self, name: str, within: float) -> None:
         """Wait for its word; `RuntimeError` if it has another."""
         out = self.parts[name].stdout
         assert out is not None
@@ -189,7 +189,7 @@
         path.write_text(json.dumps(config), encoding="utf-8")
         return path
 
-    async def balancer(self, index: int) -> None:
+    async def start_balancer(self, index: int) -> None:
         """Start a balancer."""
         config = self._configure(index)
         sockets = min(self.scenario.balancers.sockets, descriptors())
@@ -199,7 +199,7 @@
                 "-m",
                 "switchhub",
                 cwd=self.checkout,
-                env={**os.environ, **self.environ, "BALANCER_CONFIG": str(config)},
+                env={**os.environ, **self.balancer_environment, "BALANCER_CONFIG": str(config)},
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
@@ -247,20 +247,20 @@
             self.died.append((self.now(), f"b{index}", True))
             await asyncio.sleep(each.end - each.start)
         if not self._ending and self.now() < self.scenario.seconds:
-            await self.balancer(index)
+            await self.start_balancer(index)
 
     async def play(self) -> None:
         """From the first process to the last."""
         (self.folder / "plan.json").write_text(json.dumps(self.plan), encoding="utf-8")
         try:
             for name in ("servers", "discovery"):
-                await self.part(name)
+                await self.start_lab_process(name)
             for name in ("servers", "discovery"):
-                await self.ready(name, STARTED_WITHIN)
+                await self.wait_until_ready(name, STARTED_WITHIN)
             for index in range(self.scenario.balancers.count):
-                await self.balancer(index)
-            await self.part("clients")
-            await self.ready("clients", STANDING_WITHIN)
+                await self.start_balancer(index)
+            await self.start_lab_process("clients")
+            await self.wait_until_ready("clients", STANDING_WITHIN)
             self._zero = time.monotonic() + LEAD
             word = f"start {self._zero!r} {(time.time() + LEAD) * 1000!r}\n".encode()
             for part in self.parts.values():
@@ -278,9 +278,9 @@
                     if await part.wait():
                         raise RuntimeError(f"the {name} of the lab ended with status {part.returncode}")
         finally:
-            await self.end()
+            await self.stop_all()
 
-    async def end(self) -> None:
+    async def stop_all(self) -> None:
         """End every process, whatever it does."""
         self._ending = True
         for task in self._tasks:
@@ -306,7 +306,7 @@
         return iter(records)
 
 
-def judge(runner: Runner, however_late: bool = False) -> tuple[Judge, Tally]:
+def judge(runner: Runner, ignore_lateness: bool = False) -> tuple[Judge, Tally]:
     """Feed the judge and the tally; `UnfitError` if a stand-in was too late for the run to mean anything."""
     scenario = runner.scenario
     zones = {each.name: each.zone for each in runner.places}
@@ -316,7 +316,7 @@
     for at, what, *rest in runner.seen():
         if what == "lateness":
             looks, late, worst = rest
-            if not however_late and (worst > LATE_MOST or late > LATE_PART * looks):
+            if not ignore_lateness and (worst > LATE_MOST or late > LATE_PART * looks):
                 raise UnfitError(f"a stand-in was late at {late} of {looks} looks, {worst} s at most")
             continue
         if at > end:
@@ -360,13 +360,13 @@
     return seen, tally
 
 
-def play(
-    scenario: Scenario, seed: int, against: Path | None = None, however_late: bool = False
+def run_live(
+    scenario: Scenario, seed: int, against: Path | None = None, ignore_lateness: bool = False
 ) -> dict[str, Any]:
     """The result of one live run; `unfit` in it says that it does not count, and why.
 
     A live run goes on to its end; what broke first is told first."""
-    why = fits(scenario)
+    why = unfit_reason(scenario)
     tally, broken, notes = Tally(scenario), [], []
     folder = Path(tempfile.mkdtemp(prefix="switchhub-lab-"))
     try:
@@ -374,7 +374,7 @@
             raise UnfitError(f"does not fit this machine: {why}")
         runner = Runner(scenario, seed, against, folder)
         asyncio.run(runner.play())
-        seen, tally = judge(runner, however_late)
+        seen, tally = judge(runner, ignore_lateness)
         broken, notes = seen.broken, runner.notes + runner.crashed
         if seen.untold:
             notes.append(f"{seen.untold} cold servers fell by those that were not told of their start")
--- a/switchhub/lab/live/servers.py
+++ b/switchhub/lab/live/servers.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from switchhub.lab.live.part import Part, Plan, reset, run, say
+from switchhub.lab.live.lab_process import LabProcess, Plan, reset_transport, run, say
 from switchhub.lab.population import arrivals, standing
 from switchhub.lab.stand_in import StandIn, Verdict, places
 from switchhub.lab.timeline import Change
@@ -129,7 +129,7 @@
         self.end(False)
 
 
-class Servers(Part):
+class Servers(LabProcess):
     """All servers of the scenario."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
@@ -209,7 +209,7 @@
             transport = link.transport
             link.end(True)
             if transport is not None:
-                reset(transport)
+                reset_transport(transport)
 
     def fell(self, server: StandIn) -> None:
         """A cold server was given too much."""
--- a/switchhub/lab/perf.py
+++ b/switchhub/lab/perf.py
@@ -27,7 +27,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from switchhub.lab.live.runner import ROOT, Runner, ports
+from switchhub.lab.live.runner import ROOT, Runner, free_ports
 from switchhub.lab.scenario import Scenario, parse
 
 Address = tuple[str, int]
@@ -64,19 +64,19 @@
 
     def __init__(self, checkout: Path, standing: int, folder: Path, managed: bool = False) -> None:
         self.runner = runner = Runner(_scenario(standing), 1, checkout, folder)
-        self.management = (runner.host, ports(runner.host, 1)[0])
+        self.management = (runner.host, free_ports(runner.host, 1)[0])
         if managed:
-            runner.environ["BALANCER_MANAGEMENT"] = "{}:{}".format(*self.management)
+            runner.balancer_environment["BALANCER_MANAGEMENT"] = "{}:{}".format(*self.management)
 
     async def start(self) -> float:
         """Seconds that the balancer took from its start to its first `PONG`."""
         runner = self.runner
         (runner.folder / "plan.json").write_text(json.dumps(runner.plan), encoding="utf-8")
         for name in ("servers", "discovery"):
-            await runner.part(name)
-            await runner.ready(name, 20.0)
+            await runner.start_lab_process(name)
+            await runner.wait_until_ready(name, 20.0)
         begin = time.perf_counter()
-        await runner.balancer(0)
+        await runner.start_balancer(0)
         cores = sorted(os.sched_getaffinity(0))
         if len(cores) >= 4:
             os.sched_setaffinity(runner.balancers[0].pid, cores[-1:])
@@ -91,7 +91,7 @@
 
     async def stop(self) -> None:
         """End every process."""
-        await self.runner.end()
+        await self.runner.stop_all()
 
     @property
     def through(self) -> list[Address]:
--- a/switchhub/lab/report.py
+++ b/switchhub/lab/report.py
@@ -130,7 +130,7 @@
     bad = 0
     print(f"{'scenario':18} {'model':>7} {'live':>7} {'apart':>7}  note")
     for scenario in found:
-        modelled, live = run_job(Job(scenario, seed)), runner.play(scenario, seed)
+        modelled, live = run_job(Job(scenario, seed)), runner.run_live(scenario, seed)
         apart = abs(modelled["service"] - live["service"])
         note = "unfit: " + live["unfit"] if live.get("unfit") else ""
         for name, each in (("model", modelled), ("live", live)):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -14,7 +14,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from switchhub.lab.live.part import reset as reset_transport
+from switchhub.lab.live.lab_process import reset_transport
 from switchhub.lab.scenario import parse
 from switchhub.lab.told import nested
 
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -48,7 +48,7 @@
 def test_a_sound_run_through_troubles_is_never_accused(tmp_path: Path, monkeypatch: Any) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     for _ in range(3):  # a run that this machine was too slow for says so and is not judged
-        found = runner.play(small("calm", troubles=TROUBLES), 1)
+        found = runner.run_live(small("calm", troubles=TROUBLES), 1)
         if "unfit" not in found:
             break
     assert "unfit" not in found
@@ -80,8 +80,8 @@
     text = session.read_text()
     assert text.count(sound) == 1
     session.write_text(text.replace(sound, mutant))
-    found = runner.play(
-        small("calm", seconds=4.5), 1, tmp_path, however_late=True
+    found = runner.run_live(
+        small("calm", seconds=4.5), 1, tmp_path, ignore_lateness=True
     )  # time plays no part in these
     assert called in {each["name"] for each in found["broken"]}
     assert found["broken"][0]["story"]
@@ -93,7 +93,7 @@
     begin = time.monotonic()
     assert main(["run", str(file), "--engine", "live"]) == 2
     assert time.monotonic() - begin < 2.0
-    assert runner.fits(small("calm", balancers={"count": 1, "sockets": 64})) is not None
+    assert runner.unfit_reason(small("calm", balancers={"count": 1, "sockets": 64})) is not None
     assert main(["run", str(file), "--engine", "live", "--policy", "plain"]) == 2
 
 
@@ -125,9 +125,9 @@
 
 
 def test_the_ports_of_two_runs_are_their_own() -> None:
-    host = runner.address()
+    host = runner.loopback_address()
     assert host.startswith("127.") and host != "127.0.0.1"
-    assert len(set(runner.ports(host, 50))) == 50
+    assert len(set(runner.free_ports(host, 50))) == 50
 
 
 def test_a_balancer_that_ends_by_itself_is_a_crash(tmp_path: Path) -> None:
@@ -138,10 +138,10 @@
 
     async def started() -> runner.Runner:
         one = runner.Runner(small("calm"), 1, tmp_path, tmp_path)
-        await one.balancer(0)
+        await one.start_balancer(0)
         await one.balancers[0].wait()
         await asyncio.sleep(0.05)
-        await one.end()
+        await one.stop_all()
         return one
 
     assert "status 3" in asyncio.run(started()).crashed[0]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchhub.lab.live.runner import ports
+from switchhub.lab.live.runner import free_ports
 from switchhub.leases import messages as leases
 from switchhub.lifecycle.phase import Phase
 from switchhub.membership.messages import (
@@ -184,7 +184,7 @@
     """Two nodes on loopback, one of them the only voter: both want it, one has it; then the voter goes."""
 
     async def play() -> None:
-        (port,) = ports("127.0.0.1", 1)
+        (port,) = free_ports("127.0.0.1", 1)
         places = [f"127.0.0.{number}:{port}" for number in (1, 2)]
         terms = LeaseSettings(voters=places[:1], length_ms=500, longest_ms=500, margin_ms=50)
         nodes = [
