--- a/switchhub/lab/told.py
+++ b/switchhub/lab/balancer_settings.py
@@ -16,12 +16,12 @@
 _REPEATS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 
 
-def zone_of(scenario: Scenario, balancer: int) -> int:
+def balancer_zone(scenario: Scenario, balancer: int) -> int:
     """Balancers are spread over the zones in turn."""
     return balancer % len(scenario.zones)
 
 
-def nested(scenario: Scenario, balancer: int) -> dict[str, Any]:
+def configuration(scenario: Scenario, balancer: int) -> dict[str, Any]:
     """The settings of one balancer, as its configuration nests them."""
     quotas = [each.connections for each in scenario.tenants]
     return {
@@ -32,7 +32,7 @@
             "Probes": False,
             "RetryAfter": scenario.balancers.retry_after_ms > 0,
         },
-        "Az": zone_of(scenario, balancer),
+        "Az": balancer_zone(scenario, balancer),
         "Classes": [
             {
                 "Name": each.name,
@@ -68,6 +68,6 @@
     }
 
 
-def settings(scenario: Scenario, balancer: int) -> Settings:
+def decision_settings(scenario: Scenario, balancer: int) -> Settings:
     """The same, as the decision module takes them."""
-    return read_settings(flatten(nested(scenario, balancer)))
+    return read_settings(flatten(configuration(scenario, balancer)))
--- a/switchhub/lab/baselines.py
+++ b/switchhub/lab/baselines.py
@@ -38,7 +38,7 @@
     ServerState,
     Settings,
 )
-from switchhub.lab.stand_in import StandIn
+from switchhub.lab.fake_server import FakeServer
 
 NEVER_RAN = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})
 ASK_PART = 1 / 8  # of the time allowed, after which a lost list is asked for again
@@ -55,20 +55,20 @@
     def pick(self, now: float, request: Request) -> Pick:
         """Where a request goes, or its final answer."""
 
-    def report(self, now: float, news: Observation) -> None:
+    def report(self, now: float, observation: Observation) -> None:
         """Tell what was seen."""
 
     def tick(self, now: float) -> PendingActions:
         """What is to be done."""
 
 
-class Truth(Protocol):
+class SimulationState(Protocol):
     """What only the lab knows; the oracle sees it."""
 
-    servers: dict[str, StandIn]
-    reserved: dict[str, float]
+    servers: dict[str, FakeServer]
+    reserved_loads: dict[str, float]
 
-    def reaches(self, balancer: int, server: str) -> bool:
+    def can_reach(self, balancer: int, server: str) -> bool:
         """Whether the network carries anything between them now."""
 
 
@@ -84,7 +84,7 @@
         self.first: tuple[Server, float] | None = None  # the first attempt that may have run
 
 
-class Baseline:
+class BaselinePolicy:
     """Keeps the rules on attempts, repeats and drains; `choose` picks among the lawful."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
@@ -121,26 +121,28 @@
         self._hold(held, chosen)
         return Send(chosen, (held.until - now) / left)
 
-    def report(self, now: float, news: Observation) -> None:
+    def report(self, now: float, observation: Observation) -> None:
         """Tell what was seen."""
         self.now = now
-        if isinstance(news, ServerList):
-            self._on_roster(news)
-        elif isinstance(news, ServerListLost):
+        if isinstance(observation, ServerList):
+            self._on_roster(observation)
+        elif isinstance(observation, ServerListLost):
             self._ask_at = now + self.settings.watch_retry_within * ASK_PART
-        elif isinstance(news, Adopted):
-            held = self._held[news.request.id] = _Held(news.request, news.request.hint or 0.0, 0.0)
+        elif isinstance(observation, Adopted):
+            held = self._held[observation.request.id] = _Held(
+                observation.request, observation.request.hint or 0.0, 0.0
+            )
             held.up = True
-            self._hold(held, news.server)
-        elif isinstance(news, Up):
-            held = self._held[news.request]
+            self._hold(held, observation.server)
+        elif isinstance(observation, Up):
+            held = self._held[observation.request]
             held.up = True
             if self._state(held.server) is ServerState.DRAINING:
-                self._moves.append(news.request)
-        elif isinstance(news, Ended):
-            self._on_ended(now, news)
-        elif isinstance(news, Left):
-            self._held[news.request].until = 0.0
+                self._moves.append(observation.request)
+        elif isinstance(observation, Ended):
+            self._on_ended(now, observation)
+        elif isinstance(observation, Left):
+            self._held[observation.request].until = 0.0
 
     def tick(self, now: float) -> PendingActions:
         """What is to be done."""
@@ -205,7 +207,7 @@
         return [each for each in names if each not in held.tried] or names
 
 
-class RoundRobin(Baseline):
+class RoundRobin(BaselinePolicy):
     """The next one in turn, from a place by lot."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
@@ -218,7 +220,7 @@
         return names[self._turn % len(names)]
 
 
-class LeastConnections(Baseline):
+class LeastConnections(BaselinePolicy):
     """The fewest connections of its own; ties by lot."""
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
@@ -227,7 +229,7 @@
         return self.rng.choice([each for each in names if self.counts[each] == least])
 
 
-class TwoChoices(Baseline):
+class TwoChoices(BaselinePolicy):
     """The less loaded of two by lot, by the sums (Mitzenmacher, 2001)."""
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
@@ -236,7 +238,7 @@
         return min(first, second, key=self.sums.__getitem__)
 
 
-class Plain(Baseline):
+class LeastSum(BaselinePolicy):
     """The design without any exception: the least sum."""
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
@@ -245,11 +247,13 @@
         return self.rng.choice([each for each in names if self.sums[each] == least])
 
 
-class Oracle(Baseline):
+class Oracle(BaselinePolicy):
     """Sees true loads, what hangs, what is cut off and what a cold server bears; refuses when all is full,
     and moves what stands where it is served badly. All oracles of a run share what they are about to send."""
 
-    def __init__(self, settings: Settings, seed: int, now: float, truth: Truth, balancer: int) -> None:
+    def __init__(
+        self, settings: Settings, seed: int, now: float, truth: SimulationState, balancer: int
+    ) -> None:
         super().__init__(settings, seed, now)
         self._truth, self._index = truth, balancer
         self._looked = now
@@ -262,24 +266,24 @@
             server = self._truth.servers[name]
             if server.full or not self._sound(name):
                 continue
-            ahead = load + self._truth.reserved[name]
-            if not server.bears(server.at, ahead * MARGIN):
+            ahead = load + self._truth.reserved_loads[name]
+            if not server.fits_setup_budget(server.updated_at, ahead * MARGIN):
                 continue
-            used = server.utilisation(server.at) + ahead / server.rate(server.at)
+            used = server.utilisation(server.updated_at) + ahead / server.work_rate(server.updated_at)
             if used < least:
                 best, least = name, used
         if best:
             self._reserved[request.id] = (best, load)
-            self._truth.reserved[best] += load
+            self._truth.reserved_loads[best] += load
         return best
 
-    def report(self, now: float, news: Observation) -> None:
+    def report(self, now: float, observation: Observation) -> None:
         """Tell what was seen."""
-        if isinstance(news, (Up, Ended)):
-            name, load = self._reserved.pop(news.request, ("", 0.0))
+        if isinstance(observation, (Up, Ended)):
+            name, load = self._reserved.pop(observation.request, ("", 0.0))
             if name:
-                self._truth.reserved[name] -= load
-        super().report(now, news)
+                self._truth.reserved_loads[name] -= load
+        super().report(now, observation)
 
     def tick(self, now: float) -> PendingActions:
         """What is to be done: also what is to be moved."""
@@ -290,13 +294,13 @@
 
     def _sound(self, name: str) -> bool:
         server = self._truth.servers[name]
-        return not (server.dead or server.hangs) and self._truth.reaches(self._index, name)
+        return not (server.dead or server.hanging) and self._truth.can_reach(self._index, name)
 
     def _relieve(self) -> None:
         spare = {
-            name: BUSIEST * each.rate(each.at) * each.ramp(each.at) - each.load
+            name: BUSIEST * each.work_rate(each.updated_at) * each.speed_fraction(each.updated_at) - each.load
             for name, each in self._truth.servers.items()
-            if self._sound(name) and not each.drains
+            if self._sound(name) and not each.draining
         }
         room = sum(each for each in spare.values() if each > 0)
         over = {name: -each for name, each in spare.items() if each < 0}
@@ -311,15 +315,15 @@
                 self._moves.append(request)
 
 
-def design(settings: Settings, seed: int, now: float) -> Decider:
+def create_design(settings: Settings, seed: int, now: float) -> Decider:
     """The project's own."""
     return Facade(settings, seed, now)
 
 
 BASELINES: dict[str, Callable[[Settings, int, float], Decider]] = {
-    "design": design,
-    "plain": Plain,
-    "random": Baseline,
+    "design": create_design,
+    "plain": LeastSum,
+    "random": BaselinePolicy,
     "round-robin": RoundRobin,
     "least-connections": LeastConnections,
     "two-choices": TwoChoices,
--- a/switchhub/lab/judge.py
+++ b/switchhub/lab/checker.py
@@ -15,7 +15,7 @@
 
 from switchhub.lab.scenario import Scenario
 
-BREAKS = {
+VIOLATION_RULES = {
     "answered twice": 1,
     "never answered": 1,
     "answered late": 1,
@@ -34,7 +34,7 @@
 LATEST = 2.0  # seconds past its deadline in which an answer that is owed is still called late, not missing
 
 
-class Broken(NamedTuple):
+class Violation(NamedTuple):
     """One break of a rule."""
 
     name: str
@@ -42,12 +42,12 @@
     at: float
     request: str
     text: str
-    story: tuple[str, ...]
+    history: tuple[str, ...]
 
     def lines(self) -> list[str]:
         """For the terminal: what broke, then both sides' story in order."""
         head = f"rule {self.rule} broken at {self.at:.4f} s: {self.name}: {self.text}"
-        return [head, *(f"    {each}" for each in self.story)]
+        return [head, *(f"    {each}" for each in self.history)]
 
 
 class _Attempt:
@@ -85,7 +85,7 @@
         self.log: deque[str] = deque(maxlen=KEPT)
 
 
-class Judge:
+class Checker:
     """Told of everything, in order; `broken` holds what broke."""
 
     def __init__(
@@ -109,9 +109,11 @@
         ] = {}  # servers that discovery knows to drain or to be gone, since when
         self._born: dict[tuple[str, str], float] = {}  # (balancer, server): when it last started, as told
         self._started: dict[str, float] = {}
-        self.untold = 0  # servers that fell before those who sent there were told of their start
-        self.broken: list[Broken] = []
-        self.seen = 0
+        self.crashes_without_notice = (
+            0  # servers that fell before those who sent there were told of their start
+        )
+        self.violations: list[Violation] = []
+        self.request_count = 0
 
     # Whoever tells.
 
@@ -121,7 +123,7 @@
         story = self._stories[request] = _Story(balancer, kind, at, at + wait)
         story.log.append(f"{at:9.4f} client opens at {balancer}, waits {wait * 1000:.0f} ms")
         heapq.heappush(self._deadlines, (at + wait + self._slack, request))
-        self.seen += 1
+        self.request_count += 1
 
     def adopted(self, request: str, balancer: str, kind: int, server: str) -> None:
         """A connection stood before the run."""
@@ -225,7 +227,7 @@
             if story.left:
                 self._forget(request, story)
 
-    def line_got(self, at: float, request: str, number: int) -> None:
+    def server_received_line(self, at: float, request: str, number: int) -> None:
         """A server has a client's line; they are numbered from 1."""
         story = self._stories.get(request)
         if story is not None:
@@ -233,7 +235,7 @@
                 self._line(at, request, "server", number, story.got)
             story.got = number
 
-    def line_back(self, at: float, request: str, number: int) -> None:
+    def client_received_answer(self, at: float, request: str, number: int) -> None:
         """A client has the answer to its line."""
         story = self._stories.get(request)
         if story is not None:
@@ -241,7 +243,7 @@
                 self._line(at, request, "client", number, story.back)
             story.back = number
 
-    def told(self, at: float, balancer: str, server: str, state: str, born: float) -> None:
+    def balancer_notified(self, at: float, balancer: str, server: str, state: str, born: float) -> None:
         """Discovery has written to a balancer what it knows of a server; `born`: 0 for long ago."""
         if state == "Ready":
             self._out.pop((balancer, server), None)
@@ -267,7 +269,7 @@
         """A server's process is there, cold; `born`: its start as discovery tells it."""
         self._started[server] = at if born is None else born
 
-    def died(self, at: float, balancer: str, planned: bool = False) -> None:
+    def balancer_died(self, at: float, balancer: str, planned: bool = False) -> None:
         """A balancer's process has ended. Nothing that it held is excused if it was `planned`."""
         if not planned:
             self._died.setdefault(balancer, []).append(at)
@@ -277,7 +279,9 @@
         for key in [each for each in self._born if each[0] == balancer]:
             del self._born[key]
 
-    def fell(self, at: float, server: str, pushes: list[tuple[float, str, float]], most: float) -> None:
+    def cold_server_fell(
+        self, at: float, server: str, pushes: list[tuple[float, str, float]], most: float
+    ) -> None:
         """A cold server was given more than the `most` that it bears.
 
         As with drains, what counts is what balancers were told: of n balancers, the k that were told of its
@@ -293,14 +297,14 @@
             text = f"{server}: {by_them:.0f} of {most:.0f} by {len(knew)} of {len(self._fleet)} that knew"
             self._break("cold server pushed over", at, pushes[-1][1], text)
         else:
-            self.untold += 1
+            self.crashes_without_notice += 1
 
-    def finish(self, at: float) -> list[Broken]:
+    def finish(self, at: float) -> list[Violation]:
         """The run is over; what is still owed by now is missing."""
         self._due(at)
         for each in self._overdue:
             self._never(*each)
-        return self.broken
+        return self.violations
 
     def opened_at(self, request: str) -> float | None:
         """When a client has opened this connection, while its story is kept."""
@@ -381,7 +385,7 @@
     def _break(self, name: str, at: float, request: str, text: str) -> None:
         story = self._stories.get(request)
         log = tuple(story.log) if story is not None else ()
-        self.broken.append(Broken(name, BREAKS[name], at, request, text, log))
+        self.violations.append(Violation(name, VIOLATION_RULES[name], at, request, text, log))
 
     def _forget(self, request: str, story: _Story) -> None:
         """Once both sides have ended, nothing can break any more."""
--- a/switchhub/lab/cli.py
+++ b/switchhub/lab/cli.py
@@ -19,9 +19,9 @@
 
 from switchhub.lab import scenario as scenarios
 from switchhub.lab.baselines import POLICIES
+from switchhub.lab.run_statistics import dump_json
 from switchhub.lab.runs import Job, run_job_with_progress, run_jobs
 from switchhub.lab.scenario import Scenario, ScenarioError
-from switchhub.lab.tally import dump
 
 SCENARIO_DIRECTORY = Path(__file__).parent.parent.parent / "lab" / "scenarios"
 LARGE = 20_000  # standing connections beyond which a scenario is left out of tables unless it is named
@@ -191,9 +191,9 @@
     faults: list[str] = []
     for path in files:
         try:
-            found.append(scenarios.read(path))
+            found.append(scenarios.read_scenario(path))
         except ScenarioError as error:
-            faults += error.faults
+            faults += error.problems
     if faults:
         raise ScenarioError(faults)
     return found
@@ -201,13 +201,17 @@
 
 def shelf() -> list[Scenario]:
     """The project's own scenarios that a table can hold."""
-    return [each for each in read_all(sorted(SCENARIO_DIRECTORY.glob("*.toml"))) if each.standing <= LARGE]
+    return [
+        each
+        for each in read_all(sorted(SCENARIO_DIRECTORY.glob("*.toml")))
+        if each.standing_connections <= LARGE
+    ]
 
 
 def write(path: Path | None, data: Any) -> None:
     """As JSON, if a file is named."""
     if path is not None:
-        path.write_text(dump(data), encoding="utf-8")
+        path.write_text(dump_json(data), encoding="utf-8")
 
 
 def show_result(result: dict[str, Any]) -> int:
@@ -239,7 +243,8 @@
 def _check(told: argparse.Namespace) -> int:
     for each in read_all(told.files):
         print(
-            f"{each.name}: {len(each.server_names())} servers, {each.standing} standing connections, serves"
+            f"{each.name}: {len(each.server_names())} servers, "
+            f"{each.standing_connections} standing connections, serves"
         )
     return 0
 
@@ -405,7 +410,7 @@
     try:
         return VERBS[told.verb](told)
     except ScenarioError as error:
-        for fault in error.faults:
+        for fault in error.problems:
             print(f"lab: {fault}", file=sys.stderr)
         return 2
     except argparse.ArgumentTypeError as error:
--- a/switchhub/lab/earlier.py
+++ b/switchhub/lab/earlier.py
@@ -22,7 +22,7 @@
 from switchhub.decision.interface import Request, Settings
 from switchhub.lab.baselines import Decider
 from switchhub.lab.former_names import current_type_name, find_type, rename_fields
-from switchhub.lab.model import Maker, Run
+from switchhub.lab.model import DeciderFactory, Simulation
 
 
 @lru_cache(maxsize=8)
@@ -91,10 +91,10 @@
         return kind(**{field: self._translate(each) for field, each in known.items()})
 
 
-def maker(checkout: Path) -> Maker:
+def maker(checkout: Path) -> DeciderFactory:
     """A function that makes deciders with the checkout's decision module."""
 
-    def make(settings: Settings, seed: int, now: float, _run: Run, _index: int) -> Decider:
+    def make(settings: Settings, seed: int, now: float, _run: Simulation, _index: int) -> Decider:
         return OtherCheckout(checkout, settings, seed, now)
 
     return make
--- a/switchhub/lab/electorate.py
+++ b/switchhub/lab/electorate.py
@@ -14,7 +14,7 @@
 from statistics import median
 
 from switchhub.lab.history import Entry, faults
-from switchhub.lab.virtual import Net
+from switchhub.lab.virtual_network import VirtualNetwork
 from switchhub.leases.config import MAX_CLOCK_DRIFT, LeaseConfig
 from switchhub.leases.messages import ProcessIdentity
 from switchhub.leases.service import LeaseService
@@ -25,7 +25,7 @@
 LIMIT = 60.0  # seconds after which nobody is waited for any more
 
 
-class Electorate(Net[LeaseService]):
+class Electorate(VirtualNetwork[LeaseService]):
     """So many voters, two candidates beside them; each clock is fast or slow by `MAX_CLOCK_DRIFT`."""
 
     def __init__(
@@ -39,17 +39,17 @@
         self.history: list[Entry] = []
         self.holder, self._token = "", 0
         for key in (*self.voters, "c0", "c1"):
-            self.drift[key] = self.rng.choice((1 - MAX_CLOCK_DRIFT, 1 + MAX_CLOCK_DRIFT))
+            self.clock_rates[key] = self.rng.choice((1 - MAX_CLOCK_DRIFT, 1 + MAX_CLOCK_DRIFT))
             who = ProcessIdentity(key, self.rng.getrandbits(32), f"a-{key}")
-            self.all[key] = LeaseService(who, self.terms, self.rng.getrandbits(64), self.clock(key), 0)
+            self.nodes[key] = LeaseService(who, self.terms, self.rng.getrandbits(64), self.local_time(key), 0)
             if key.startswith("c"):
                 for name in self.names:
-                    self.all[key].acquire(name, self.clock(key))
-            self._after(key)
+                    self.nodes[key].acquire(name, self.local_time(key))
+            self._process_output(key)
 
     def _holds(self, key: str) -> int | None:
-        still = key not in self.down and self._busy.get(key, 0.0) <= self.now
-        return self.all[key].proposer.held_token(DUTY, self.clock(key)) if still else None
+        still = key not in self.down and self._paused_until.get(key, 0.0) <= self.now
+        return self.nodes[key].proposer.held_token(DUTY, self.local_time(key)) if still else None
 
     def look(self) -> None:
         """Who acts now; one that is dead or stands still does not."""
@@ -70,14 +70,14 @@
             self.look()
             if self.holder and by in ("", self.holder):
                 return self.now - begun
-            self.run(self.now + LOOK)
+            self.run_until(self.now + LOOK)
         return limit
 
 
 def gap(voters: int, seed: int, what: str, length: float, loss: float) -> float:
     """Seconds without a holder after its holder died, stood still or was cut off with a minority."""
     world = Electorate(voters, seed, length, loss)
-    world.run(SETTLES + 2 * length + world.rng.random())
+    world.run_until(SETTLES + 2 * length + world.rng.random())
     world.until_held(LIMIT)
     holder = world.holder
     other = "c1" if holder == "c0" else "c0"
@@ -87,7 +87,7 @@
         world.pause(holder, 10 * length)
     else:
         minority = {holder, *world.voters[: voters // 2]}
-        world.cut = lambda a, b: (a in minority) is not (b in minority)
+        world.is_cut = lambda a, b: (a in minority) is not (b in minority)
     begun = world.now
     world.until_held(LIMIT, other)
     wrong = faults(world.history)
@@ -102,13 +102,15 @@
     """Messages and bytes a second of a steady holder, and the processor's part of a second it takes."""
     world = Electorate(voters, seed, names=names)
     world.kill("c1")
-    world.run(SETTLES + 10)
-    held = [name for name in world.names if world.all["c0"].proposer.held_token(name, world.clock("c0"))]
+    world.run_until(SETTLES + 10)
+    held = [
+        name for name in world.names if world.nodes["c0"].proposer.held_token(name, world.local_time("c0"))
+    ]
     assert len(held) == names, len(held)
-    sent, size, used = world.sent, world.bytes, time.process_time()
-    world.run(world.now + seconds)
+    sent, size, used = world.datagrams_sent, world.datagram_bytes, time.process_time()
+    world.run_until(world.now + seconds)
     part = (time.process_time() - used) / seconds
-    return (world.sent - sent) / seconds, (world.bytes - size) / seconds, part
+    return (world.datagrams_sent - sent) / seconds, (world.datagram_bytes - size) / seconds, part
 
 
 def main() -> None:
--- a/switchhub/lab/stand_in.py
+++ b/switchhub/lab/fake_server.py
@@ -16,14 +16,14 @@
 from enum import Enum
 from random import Random
 
-from switchhub.lab.scenario import CORE, Scenario, Servers
+from switchhub.lab.scenario import CORE_WORK_PER_S, Scenario, ServerGroup
 from switchhub.lab.timeline import Interval
 
 BUSIEST = 0.95  # utilisation at which the stretch of a message stops growing; backlog takes over from there
 PILE_MAX = 20.0  # seconds of work that may pile up; beyond it the server drops what comes
 
 
-class Verdict(Enum):
+class SetupReply(Enum):
     """What a server does with a first line."""
 
     UP = "UP"
@@ -34,48 +34,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ServerSpec:
     """Where a server stands and what it is."""
 
     name: str
-    group: Servers
+    group: ServerGroup
     zone: int
     cell: int
 
 
-def places(scenario: Scenario) -> list[Place]:
+def server_specs(scenario: Scenario) -> list[ServerSpec]:
     """Every server of a scenario, in order; those without a zone of their own are spread in turn."""
-    out: list[Place] = []
+    out: list[ServerSpec] = []
     for group in scenario.servers:
         for index in range(group.count):
             zone = len(out) % len(scenario.zones) if group.zone is None else scenario.zones.index(group.zone)
-            out.append(Place(f"{group.name}-{index}", group, zone, index % group.cells))
+            out.append(ServerSpec(f"{group.name}-{index}", group, zone, index % group.cells))
     return out
 
 
-class StandIn:
+class FakeServer:
     """One server."""
 
-    def __init__(self, scenario: Scenario, place: Place, seed: int) -> None:
-        self.place, self.name, self.group = place, place.name, place.group
+    def __init__(self, scenario: Scenario, spec: ServerSpec, seed: int) -> None:
+        self.spec, self.name, self.group = spec, spec.name, spec.group
         self._cold = scenario.cold
-        self._rng = Random(f"{seed}/server/{place.name}")
+        self._rng = Random(f"{seed}/server/{spec.name}")
         self._active: list[Interval] = []
-        self.conns: dict[str, float] = {}
+        self.connections: dict[str, float] = {}
         self.load = 0.0
-        self.pile = 0.0
-        self.at = 0.0
-        self.born: float | None = None  # when it last started; none: long ago
-        self.fallen = False
-        self.pushed: deque[tuple[float, str, float]] = deque()  # while cold: when, which connection, its load
+        self.backlog = 0.0
+        self.updated_at = 0.0
+        self.started_at: float | None = None  # when it last started; none: long ago
+        self.crashed = False
+        self.recent_setups: deque[tuple[float, str, float]] = (
+            deque()
+        )  # while cold: when, which connection, its load
         self._refresh()
 
     # What troubles do to it.
 
     def _refresh(self) -> None:
         kinds = {each.effect for each in self._active}
-        self.dead = self.fallen or "die" in kinds
-        self.hangs, self.drains, self.full = "hang" in kinds, "drain" in kinds, "full" in kinds
+        self.dead = self.crashed or "die" in kinds
+        self.hanging, self.draining, self.full = "hang" in kinds, "drain" in kinds, "full" in kinds
         self._slow = 1.0
         self._noise = 0.0
         self._errors = 0.0
@@ -83,11 +85,11 @@
             if each.effect == "slow":
                 self._slow *= each.value
             elif each.effect == "noisy":
-                self._noise += each.value * CORE
+                self._noise += each.value * CORE_WORK_PER_S
             elif each.effect == "errors":
                 self._errors = max(self._errors, each.value)
 
-    def change(self, now: float, begins: bool, interval: Interval) -> bool:
+    def apply_change(self, now: float, begins: bool, interval: Interval) -> bool:
         """A trouble of its own begins or ends; whether it died or came back with that."""
         self.advance(now)
         before = self.dead
@@ -97,104 +99,114 @@
             self._active.remove(interval)
         self._refresh()
         if before != self.dead:
-            self.clear()
+            self.drop_all_connections()
             if not self.dead:
-                self.born = now
-                self.pushed.clear()
+                self.started_at = now
+                self.recent_setups.clear()
         return before != self.dead
 
-    def clear(self) -> None:
+    def drop_all_connections(self) -> None:
         """Nothing stands on it any more."""
-        self.conns.clear()
-        self.load = self.pile = 0.0
+        self.connections.clear()
+        self.load = self.backlog = 0.0
 
     # What it can do.
 
-    def ramp(self, now: float) -> float:
+    def speed_fraction(self, now: float) -> float:
         """The part of its speed that a server has that has just started."""
-        if self.born is None:
+        if self.started_at is None:
             return 1.0
-        age = max(0.0, now - self.born) / self._cold.seconds
+        age = max(0.0, now - self.started_at) / self._cold.seconds
         return 1.0 if age >= 1 else self._cold.share + (1 - self._cold.share) * age
 
-    def rate(self, now: float) -> float:
+    def work_rate(self, now: float) -> float:
         """Microseconds of work a second that it does now."""
-        full = self.group.cores * self.group.speed * CORE * self.ramp(now) / self._slow
+        full = self.group.cores * self.group.speed * CORE_WORK_PER_S * self.speed_fraction(now) / self._slow
         return max(full - self._noise, full * 0.02)
 
     def advance(self, now: float) -> None:
         """Let work pile up or off until now."""
-        if now > self.at:
-            rate = self.rate(now)
-            self.pile = min(max(0.0, self.pile + (self.load - rate) * (now - self.at)), PILE_MAX * rate)
-            self.at = now
-
-    def delay(self, now: float) -> float:
+        if now > self.updated_at:
+            rate = self.work_rate(now)
+            self.backlog = min(
+                max(0.0, self.backlog + (self.load - rate) * (now - self.updated_at)), PILE_MAX * rate
+            )
+            self.updated_at = now
+
+    def message_delay(self, now: float) -> float:
         """Seconds that a message takes."""
         self.advance(now)
-        rate = self.rate(now)
-        base = self.group.message_ms / 1000 * self.group.cores * CORE / rate
-        return base / (1 - min(self.load / rate, BUSIEST)) + self.pile / rate
+        rate = self.work_rate(now)
+        base = self.group.message_ms / 1000 * self.group.cores * CORE_WORK_PER_S / rate
+        return base / (1 - min(self.load / rate, BUSIEST)) + self.backlog / rate
 
     def utilisation(self, now: float) -> float:
         """Standing work over what it does now, and what is piled up as if it were to be done in a second."""
-        rate = self.rate(now)
-        return (self.load + self.pile) / rate
+        rate = self.work_rate(now)
+        return (self.load + self.backlog) / rate
 
     # What it is asked.
 
-    def offer(self, now: float, name: str, load: float) -> tuple[Verdict, float]:
+    def receive_first_line(self, now: float, name: str, load: float) -> tuple[SetupReply, float]:
         """A first line has come: the verdict and the seconds until it is said. `UP` counts as standing at
         once."""
         if self.dead:
-            return Verdict.DOWN, 0.0
-        if self.hangs:
-            return Verdict.SILENT, 0.0
-        if self.drains or self.full or len(self.conns) >= self.group.connections:
-            return Verdict.BUSY, 0.0
+            return SetupReply.DOWN, 0.0
+        if self.hanging:
+            return SetupReply.SILENT, 0.0
+        if self.draining or self.full or len(self.connections) >= self.group.connections:
+            return SetupReply.BUSY, 0.0
         if self._errors and self._rng.random() < self._errors:
-            return Verdict.ERR, 0.0
-        delay = self.delay(now)
-        self.pile += self.group.setup_work_ms * 1000
-        self.hold(name, load)
-        return Verdict.UP, delay + self.group.setup_work_ms * 1000 / self.rate(now)
+            return SetupReply.ERR, 0.0
+        delay = self.message_delay(now)
+        self.backlog += self.group.setup_work_ms * 1000
+        self.add_connection(name, load)
+        return SetupReply.UP, delay + self.group.setup_work_ms * 1000 / self.work_rate(now)
 
-    def hold(self, name: str, load: float) -> None:
+    def add_connection(self, name: str, load: float) -> None:
         """A connection stands here."""
-        self.conns[name] = load
+        self.connections[name] = load
         self.load += load
 
-    def end(self, now: float, name: str) -> None:
+    def remove_connection(self, now: float, name: str) -> None:
         """A connection has ended, or is given up."""
-        load = self.conns.pop(name, None)
+        load = self.connections.pop(name, None)
         if load is not None:
             self.advance(now)
-            self.load = max(0.0, self.load - load) if self.conns else 0.0
+            self.load = max(0.0, self.load - load) if self.connections else 0.0
 
-    def most(self, now: float) -> float:
+    def cold_setup_budget(self, now: float) -> float:
         """Work a second of set-ups that it bears in one window while it is cold."""
-        capacity = self.group.cores * self.group.speed * CORE
-        return self._cold.fall_multiple * self.ramp(now) * capacity * self._cold.fall_s / self._cold.seconds
-
-    def bears(self, now: float, load: float) -> bool:
+        capacity = self.group.cores * self.group.speed * CORE_WORK_PER_S
+        return (
+            self._cold.fall_multiple
+            * self.speed_fraction(now)
+            * capacity
+            * self._cold.fall_s
+            / self._cold.seconds
+        )
+
+    def fits_setup_budget(self, now: float, load: float) -> bool:
         """Whether a further set-up, with the others of the window, is what a server that may be cold
         bears."""
-        if self.born is None or now - self.born >= self._cold.seconds:
+        if self.started_at is None or now - self.started_at >= self._cold.seconds:
             return True
-        while self.pushed and self.pushed[0][0] <= now - self._cold.fall_s:
-            self.pushed.popleft()
-        return sum([each for _, _, each in self.pushed]) + load <= max(self.most(now), 2 * load)
+        while self.recent_setups and self.recent_setups[0][0] <= now - self._cold.fall_s:
+            self.recent_setups.popleft()
+        return sum([each for _, _, each in self.recent_setups]) + load <= max(
+            self.cold_setup_budget(now), 2 * load
+        )
 
-    def pushed_over(self, now: float, name: str, load: float) -> bool:
+    def crashes_from_setup(self, now: float, name: str, load: float) -> bool:
         """A set-up is taken; whether it is one too many, and the server falls. `pushed` still tells of
         all."""
-        if self.born is None or now - self.born >= self._cold.seconds:
+        if self.started_at is None or now - self.started_at >= self._cold.seconds:
             return False
-        bears = self.bears(now, load)
-        self.pushed.append((now, name, load))
+        bears = self.fits_setup_budget(now, load)
+        self.recent_setups.append((now, name, load))
         if bears:
             return False
-        self.fallen = True
+        self.crashed = True
         self._refresh()
-        self.clear()
+        self.drop_all_connections()
         return True
--- a/switchhub/lab/faults/stage.py
+++ b/switchhub/lab/faults/stage.py
@@ -20,9 +20,9 @@
 from pathlib import Path
 from typing import Any
 
-from switchhub.lab import told
+from switchhub.lab import balancer_settings
 from switchhub.lab.live.runner import ROOT
-from switchhub.lab.scenario import parse
+from switchhub.lab.scenario import parse_scenario
 
 LIMIT = 12.0  # seconds that a step may wait for its condition
 HOLDS = 0.4  # seconds that a client stays before it speaks and leaves
@@ -273,7 +273,7 @@
     path: Path, name: str, count: int, listen: str, discovery: str, listing: dict[str, Any]
 ) -> None:
     """The configuration of one of so many balancers."""
-    scenario = parse(
+    scenario = parse_scenario(
         {
             "name": "faults",
             "shows": "processes that fail",
@@ -294,6 +294,6 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 16384},
         "known": listing,
-        "settings": told.nested(scenario, 0),
+        "settings": balancer_settings.configuration(scenario, 0),
     }
     path.write_text(json.dumps(config), encoding="utf-8")
--- a/switchhub/lab/faults/upgrades.py
+++ b/switchhub/lab/faults/upgrades.py
@@ -43,7 +43,7 @@
     configure,
 )
 from switchhub.lab.live.runner import free_ports
-from switchhub.lab.scenario import Cold
+from switchhub.lab.scenario import ColdStart
 
 EVERY = 0.02  # seconds between two clients
 AFTER = 1.0  # seconds after a step that are put down to it
@@ -76,7 +76,7 @@
             out.append(f"settled on {self.ready}")
         return out
 
-    def over_budget(self, cold: Cold) -> float:
+    def over_budget(self, cold: ColdStart) -> float:
         """The most set-ups that the cold server, the first, ever got above its budget of the time before
         (rule 4), measured by the most that its warm peers held in that time: what a process that wakes had
         held ends all at once."""
--- a/switchhub/lab/hunt.py
+++ b/switchhub/lab/hunt.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from switchhub.lab.runs import Job, run_job, run_jobs
-from switchhub.lab.scenario import Scenario, ScenarioError, parse
+from switchhub.lab.scenario import Scenario, ScenarioError, parse_scenario
 
 BROKEN = 10.0  # what a broken rule counts as
 KEPT = 3  # of the worst that are shrunk and written
@@ -108,7 +108,7 @@
 
 def measure(data: dict[str, Any], seed: int) -> Found:
     """Play the design and the oracle."""
-    scenario = parse(data)
+    scenario = parse_scenario(data)
     return judged(data, seed, [run_job(Job(scenario, seed, policy)) for policy in ("design", "oracle")])
 
 
@@ -172,7 +172,7 @@
         elif value != []:
             plain.append(f"{key} = {_plain(value)}")
     text = "\n".join([*plain, *tables]) + "\n"
-    if parse(tomllib.loads(text)) != parse(data):
+    if parse_scenario(tomllib.loads(text)) != parse_scenario(data):
         raise RuntimeError("a scenario that was written does not read back")
     return text
 
@@ -193,7 +193,7 @@
         number += 1
         data = draw(Random(f"{seed}/hunt/{number}"), number)
         try:
-            drawn.append((data, number, parse(data)))
+            drawn.append((data, number, parse_scenario(data)))
         except ScenarioError as error:
             raise RuntimeError(f"a drawn scenario does not serve: {error}") from None
     jobs = [Job(scenario, one, policy) for _, one, scenario in drawn for policy in ("design", "oracle")]
--- a/switchhub/lab/live/discovery.py
+++ b/switchhub/lab/live/discovery.py
@@ -14,10 +14,10 @@
 
 import httptools
 
-from switchhub.lab import told
+from switchhub.lab import balancer_settings
+from switchhub.lab.fake_server import ServerSpec, server_specs
 from switchhub.lab.live.lab_process import LabProcess, Plan, run, say
-from switchhub.lab.stand_in import Place, places
-from switchhub.lab.timeline import Change, Heard, heard
+from switchhub.lab.timeline import DiscoveryUpdate, IntervalChange, discovery_updates
 
 WAIT_MAX = 60.0
 
@@ -115,13 +115,13 @@
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.places: list[Place] = places(self.scenario)
+        self.places: list[ServerSpec] = server_specs(self.scenario)
         self._by_name = {each.name: each for each in self.places}
         self.known = {each.name: ("Ready", 0.0) for each in self.places}
         self.changed = {each.name: 1 for each in self.places}
         self.version = 1
         self.waiting: set[Caller] = set()
-        self._late: list[Heard] = []
+        self._late: list[DiscoveryUpdate] = []
         self._active: dict[str, int] = {}
         self._next = 0.0
         self._listening: list[asyncio.Server] = []
@@ -140,7 +140,7 @@
         """A server as this balancer is told of it."""
         place = self._by_name[name]
         state, born = self.known[name]
-        port = self.plan.servers[name][told.zone_of(self.scenario, balancer)]
+        port = self.plan.servers[name][balancer_settings.balancer_zone(self.scenario, balancer)]
         return {
             "id": name,
             "addr": f"{self.plan.host}:{port}",
@@ -165,24 +165,24 @@
 
     def begin(self) -> None:
         """What it comes to know, and its troubles."""
-        for each in heard(self.scenario, self.timeline):
+        for each in discovery_updates(self.scenario, self.timeline):
             self.at(each.at, self._learns, each)
         for change in self.timeline.changes:
             if change.interval.effect.startswith("roster-"):
                 self.at(change.at, self._change, change)
 
-    def _learns(self, each: Heard) -> None:
+    def _learns(self, each: DiscoveryUpdate) -> None:
         if self.troubled("roster-stale"):
             self._late.append(each)
             return
         self.version += 1
         self.record("knows", each.server, each.state)
-        self.known[each.server] = (each.state, each.born)
+        self.known[each.server] = (each.state, each.started_at)
         self.changed[each.server] = self.version
         for caller in list(self.waiting):
             caller.answer()
 
-    def _change(self, change: Change) -> None:
+    def _change(self, change: IntervalChange) -> None:
         effect = change.interval.effect
         self._active[effect] = self._active.get(effect, 0) + (1 if change.begins else -1)
         if change.begins and effect in ("roster-out", "roster-silent"):
--- a/switchhub/lab/live/lab_process.py
+++ b/switchhub/lab/live/lab_process.py
@@ -18,8 +18,8 @@
 
 import uvloop
 
-from switchhub.lab.scenario import Scenario, parse
-from switchhub.lab.timeline import Timeline, expand
+from switchhub.lab.scenario import Scenario, parse_scenario
+from switchhub.lab.timeline import Timeline, expand_troubles
 
 LOOK = 0.02  # seconds between two looks at one's own lateness
 LATE = 0.04  # seconds behind at which such a look counts as late
@@ -29,9 +29,9 @@
     """What the runner tells each process: the scenario, the seed, who listens where."""
 
     def __init__(self, data: dict[str, Any]) -> None:
-        self.scenario: Scenario = parse(data["scenario"])
+        self.scenario: Scenario = parse_scenario(data["scenario"])
         self.seed: int = data["seed"]
-        self.timeline: Timeline = expand(self.scenario, self.seed)
+        self.timeline: Timeline = expand_troubles(self.scenario, self.seed)
         self.host: str = data["host"]
         self.servers: dict[str, list[int]] = data["servers"]  # a port for each zone that balancers come from
         self.discovery: list[int] = data["discovery"]  # one for each balancer
--- a/switchhub/lab/live/runner.py
+++ b/switchhub/lab/live/runner.py
@@ -23,12 +23,12 @@
 
 from loguru import logger
 
-from switchhub.lab import told
-from switchhub.lab.judge import Judge
+from switchhub.lab import balancer_settings
+from switchhub.lab.checker import Checker
+from switchhub.lab.fake_server import server_specs
+from switchhub.lab.run_statistics import RunStatistics, result_data
 from switchhub.lab.scenario import Scenario
-from switchhub.lab.stand_in import places
-from switchhub.lab.tally import Tally, result
-from switchhub.lab.timeline import Interval, expand, names_met
+from switchhub.lab.timeline import Interval, count_targets, expand_troubles
 
 ROOT = Path(__file__).parent.parent.parent.parent
 SLACK = 0.05  # seconds by which each limit is longer on sockets
@@ -62,8 +62,11 @@
 
 def unfit_reason(scenario: Scenario) -> str | None:
     """Why the scenario does not fit this machine; none if it does."""
-    servers, lines = len(scenario.server_names()), scenario.standing / scenario.clients.message_every_s
-    needed = 2 * scenario.standing + SPARE
+    servers, lines = (
+        len(scenario.server_names()),
+        scenario.standing_connections / scenario.clients.message_every_s,
+    )
+    needed = 2 * scenario.standing_connections + SPARE
     if scenario.balancers.count > BALANCERS_MAX:
         return f"{scenario.balancers.count} balancers, {BALANCERS_MAX} at most"
     if servers > SERVERS_MAX:
@@ -72,7 +75,7 @@
         return f"{lines:.0f} lines a second, {LINES_MAX} at most"
     if needed > descriptors():
         return f"{needed} descriptors for a process, {descriptors()} here"
-    if 2 * scenario.standing / scenario.balancers.count > 0.9 * scenario.balancers.sockets:
+    if 2 * scenario.standing_connections / scenario.balancers.count > 0.9 * scenario.balancers.sockets:
         return f"balancers.sockets: {scenario.balancers.sockets} are too few for the standing connections"
     return None
 
@@ -104,8 +107,8 @@
     def __init__(self, scenario: Scenario, seed: int, against: Path | None, folder: Path) -> None:
         self.scenario, self.seed, self.folder = scenario, seed, folder
         self.checkout = against or ROOT
-        self.timeline = expand(scenario, seed)
-        self.places = places(scenario)
+        self.timeline = expand_troubles(scenario, seed)
+        self.places = server_specs(scenario)
         zones, count = len(scenario.zones), scenario.balancers.count
         self.host = loopback_address()
         free = iter(free_ports(self.host, len(self.places) * zones + 2 * count))
@@ -162,7 +165,7 @@
 
     def _configure(self, index: int) -> Path:
         scenario = self.scenario
-        zone = told.zone_of(scenario, index)
+        zone = balancer_settings.balancer_zone(scenario, index)
         path = self.folder / f"b{index}.json"
         listing = [
             {
@@ -184,7 +187,7 @@
             "seed": f"{(self.seed * 1000 + index) * 2654435761 % 2**64:016x}",
             "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": scenario.balancers.sockets},
             "known": {"version": 1, "full": True, "servers": listing},
-            "settings": told.nested(scenario, index),
+            "settings": balancer_settings.configuration(scenario, index),
         }
         path.write_text(json.dumps(config), encoding="utf-8")
         return path
@@ -266,7 +269,7 @@
             for part in self.parts.values():
                 assert part.stdin is not None
                 part.stdin.write(word)
-            for each in self.timeline.of("balancer-die", "balancer-restart", "balancer-reload"):
+            for each in self.timeline.with_effects("balancer-die", "balancer-restart", "balancer-reload"):
                 self._task(self._trouble(each))
             await asyncio.sleep(LEAD + self.scenario.seconds)
             self._ending = True
@@ -306,12 +309,12 @@
         return iter(records)
 
 
-def judge(runner: Runner, ignore_lateness: bool = False) -> tuple[Judge, Tally]:
+def judge(runner: Runner, ignore_lateness: bool = False) -> tuple[Checker, RunStatistics]:
     """Feed the judge and the tally; `UnfitError` if a stand-in was too late for the run to mean anything."""
     scenario = runner.scenario
     zones = {each.name: each.zone for each in runner.places}
     cells = {each.name: each.cell for each in runner.places}
-    seen, tally = Judge(scenario, zones, cells, SLACK), Tally(scenario)
+    seen, tally = Checker(scenario, zones, cells, SLACK), RunStatistics(scenario)
     end = scenario.seconds
     for at, what, *rest in runner.seen():
         if what == "lateness":
@@ -329,31 +332,31 @@
             name, line, took, kind = rest
             seen.answered(at, name, line)
             word = line.partition(" ")[0]
-            tally.answer(at, kind, {"UP": "served", "BUSY": "refused"}.get(word, "failed"))
+            tally.count_answer(at, kind, {"UP": "served", "BUSY": "refused"}.get(word, "failed"))
             if word == "UP":
-                tally.setups.add(took)
+                tally.setup_times.add(took)
         elif what == "got":
-            seen.line_got(at, *rest)
+            seen.server_received_line(at, *rest)
         elif what == "back":
             name, number, took, kind, sent = rest
-            seen.line_back(at, name, number)
+            seen.client_received_answer(at, name, number)
             if took >= 0:
-                tally.messages.add(took)
+                tally.message_times.add(took)
                 if took * 1000 <= scenario.classes[kind].message_aim_ms:
-                    tally.good[kind][tally.step(sent)] += 1
+                    tally.good_messages[kind][tally.step_index(sent)] += 1
         elif what == "wanted":
-            tally.wanted[rest[0]][tally.step(at)] += 1
+            tally.wanted_messages[rest[0]][tally.step_index(at)] += 1
         elif what == "event":
-            tally.event(at, rest[0])
+            tally.count_event(at, rest[0])
         elif what == "died":
-            seen.died(at, *rest)
+            seen.balancer_died(at, *rest)
         elif what == "started":
             seen.server_started(at, rest[0], rest[1])
         elif what == "fell":
-            tally.event(at, "servers.fallen")
-            seen.fell(at, *rest)
+            tally.count_event(at, "servers.fallen")
+            seen.cold_server_fell(at, *rest)
         elif what == "told":
-            seen.told(at, *rest)
+            seen.balancer_notified(at, *rest)
         else:
             getattr(seen, what)(at, *rest)
     seen.finish(end)
@@ -367,7 +370,7 @@
 
     A live run goes on to its end; what broke first is told first."""
     why = unfit_reason(scenario)
-    tally, broken, notes = Tally(scenario), [], []
+    tally, broken, notes = RunStatistics(scenario), [], []
     folder = Path(tempfile.mkdtemp(prefix="switchhub-lab-"))
     try:
         if why is not None:
@@ -375,9 +378,11 @@
         runner = Runner(scenario, seed, against, folder)
         asyncio.run(runner.play())
         seen, tally = judge(runner, ignore_lateness)
-        broken, notes = seen.broken, runner.notes + runner.crashed
-        if seen.untold:
-            notes.append(f"{seen.untold} cold servers fell by those that were not told of their start")
+        broken, notes = seen.violations, runner.notes + runner.crashed
+        if seen.crashes_without_notice:
+            notes.append(
+                f"{seen.crashes_without_notice} cold servers fell by those that were not told of their start"
+            )
     except UnfitError as error:
         why = str(error)
         logger.error("unfit: {}", why)
@@ -387,8 +392,8 @@
         else:
             shutil.rmtree(folder, ignore_errors=True)
     policy = "design" if against is None else "against"
-    met = names_met(scenario, expand(scenario, seed))
-    found = result(scenario, seed, "live", policy, tally, broken, met)
+    met = count_targets(scenario, expand_troubles(scenario, seed))
+    found = result_data(scenario, seed, "live", policy, tally, broken, met)
     found["notes"] = notes
     found["crashed"] = bool(why is None and any("ended by itself" in each for each in notes))
     if why is not None:
--- a/switchhub/lab/live/servers.py
+++ b/switchhub/lab/live/servers.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
+from switchhub.lab.fake_server import FakeServer, SetupReply, server_specs
 from switchhub.lab.live.lab_process import LabProcess, Plan, reset_transport, run, say
-from switchhub.lab.population import arrivals, standing
-from switchhub.lab.stand_in import StandIn, Verdict, places
-from switchhub.lab.timeline import Change
+from switchhub.lab.population import arriving_clients, initial_clients
+from switchhub.lab.timeline import IntervalChange
 
 BACKLOG = 4096
 
@@ -24,14 +24,14 @@
 class Link(asyncio.Protocol):
     """One connection from a balancer."""
 
-    def __init__(self, host: Servers, server: StandIn, zone: int) -> None:
+    def __init__(self, host: Servers, server: FakeServer, zone: int) -> None:
         self.host, self.server, self.zone = host, server, zone
         self.transport: asyncio.Transport | None = None
         self.id = ""
         self.adopted = self.up = False
         self._buffer = b""
         self._last = 0.0  # when the latest answer is due; they keep their order
-        self._way = 2 * host.way(zone, server.place.zone)
+        self._way = 2 * host.way(zone, server.spec.zone)
 
     def connection_made(self, transport: Any) -> None:
         """It is accepted."""
@@ -45,7 +45,7 @@
 
     def go_on(self) -> None:
         """Take the lines that are whole."""
-        while not (self.server.hangs and self.id) and self.host.reaches(self.zone, self.server.place.zone):
+        while not (self.server.hanging and self.id) and self.host.reaches(self.zone, self.server.spec.zone):
             line, sep, rest = self._buffer.partition(b"\r\n")
             if not sep:
                 return
@@ -65,22 +65,22 @@
             return self._say("SYNTAX")
         if values.get("at") == server.name and not host.started:
             self.adopted = self.up = True
-            server.hold(name, load)
+            server.add_connection(name, load)
             return self._say(f"UP {server.name}.{name}")
-        verdict, wait = server.offer(now, name, load)
+        verdict, wait = server.receive_first_line(now, name, load)
         host.record("took", server.name, name)
-        if verdict is Verdict.UP:
-            if server.pushed_over(now, name, load):
+        if verdict is SetupReply.UP:
+            if server.crashes_from_setup(now, name, load):
                 host.fell(server)
             else:
                 asyncio.get_running_loop().call_later(wait + self._way, self._stands)
-        elif verdict is not Verdict.SILENT:
+        elif verdict is not SetupReply.SILENT:
             host.record("said", server.name, name, verdict.value)
             self._say(verdict.value)
             self.end(True)
 
     def _stands(self) -> None:
-        if self.transport is None or self.server.dead or self.server.hangs:
+        if self.transport is None or self.server.dead or self.server.hanging:
             return
         self.up = True
         receipt = f"UP {self.server.name}.{self.id}"
@@ -93,14 +93,14 @@
         if word != "M" or not number.isdigit():
             return self._say("ERR")
         host.record("got", self.id, int(number))
-        self._last = max(self._last, now + self._way + self.server.delay(now))
+        self._last = max(self._last, now + self._way + self.server.message_delay(now))
         if self._last - now < 0.001:
             self._say(line)
         else:
             asyncio.get_running_loop().call_later(self._last - now, self._answer, line)
 
     def _answer(self, line: str) -> None:
-        if self.server.hangs or not self.host.reaches(self.zone, self.server.place.zone):
+        if self.server.hanging or not self.host.reaches(self.zone, self.server.spec.zone):
             self.host.at(self.host.now() + 0.1, self._answer, line)  # it goes on when the server does
         else:
             self._say(line)
@@ -121,7 +121,7 @@
         self.host.links[self.server.name].discard(self)
         if self.id:
             self.host.record("dropped", self.server.name, self.id, by_server)
-            self.server.end(self.host.now(), self.id)
+            self.server.remove_connection(self.host.now(), self.id)
         transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -134,15 +134,15 @@
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.places = places(self.scenario)
-        self.servers = {each.name: StandIn(self.scenario, each, plan.seed) for each in self.places}
+        self.places = server_specs(self.scenario)
+        self.servers = {each.name: FakeServer(self.scenario, each, plan.seed) for each in self.places}
         self.links: dict[str, set[Link]] = {name: set() for name in self.servers}
         self._listening: dict[str, list[asyncio.Server]] = {}
         self._cut: list[str] = []
-        first = standing(self.scenario, plan.seed)
-        self.loads = {each.key: each.load for each in first}
-        for each in arrivals(self.scenario, self.timeline, plan.seed, len(first)):
-            self.loads[each.key] = each.load
+        first = initial_clients(self.scenario, plan.seed)
+        self.loads = {each.flow_key: each.load for each in first}
+        for each in arriving_clients(self.scenario, self.timeline, plan.seed, len(first)):
+            self.loads[each.flow_key] = each.load
 
     def way(self, zone: int, other: int) -> float:
         """Seconds one way."""
@@ -176,7 +176,7 @@
         for change in self.timeline.changes:
             self.at(change.at, self._change, change)
 
-    def _change(self, change: Change) -> None:
+    def _change(self, change: IntervalChange) -> None:
         each, now = change.interval, self.now()
         if each.effect == "zone-cut":
             if change.begins:
@@ -187,15 +187,15 @@
                     self._go_on(name)
         elif each.target in self.servers:
             server = self.servers[each.target]
-            hung = server.hangs
-            if server.change(now, change.begins, each):
+            hung = server.hanging
+            if server.apply_change(now, change.begins, each):
                 if server.dead:
                     self._die(each.target)
                 else:
                     self.record("started", each.target, each.end)
                     task = asyncio.get_running_loop().create_task(self.listen(each.target))
                     task.add_done_callback(lambda done: done.result())
-            elif hung and not server.hangs:
+            elif hung and not server.hanging:
                 self._go_on(each.target)
 
     def _go_on(self, name: str) -> None:
@@ -211,9 +211,9 @@
             if transport is not None:
                 reset_transport(transport)
 
-    def fell(self, server: StandIn) -> None:
+    def fell(self, server: FakeServer) -> None:
         """A cold server was given too much."""
-        self.record("fell", server.name, list(server.pushed), server.most(self.now()))
+        self.record("fell", server.name, list(server.recent_setups), server.cold_setup_budget(self.now()))
         self._die(server.name)
 
 
--- a/switchhub/lab/members.py
+++ b/switchhub/lab/members.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from switchhub.lab.virtual import Net
+from switchhub.lab.virtual_network import VirtualNetwork
 from switchhub.membership.messages import State
 from switchhub.membership.swim import Change, Membership, Options
 
@@ -25,7 +25,7 @@
     change: Change
 
 
-class World(Net[Membership]):
+class World(VirtualNetwork[Membership]):
     """So many members; `loss` is the part of datagrams lost, `slow` the part of members that stand still for
     up to `stall` seconds again and again."""
 
@@ -51,7 +51,7 @@
             self._introduce()
         slow_ones = self.names[: round(slow * count)]
         for name in slow_ones:
-            self._post(self.rng.random() * 3, name, "!slow", None)
+            self._schedule(self.rng.random() * 3, name, "!slow", None)
 
     def start(self, name: str, address: str = "", seeds: tuple[str, ...] = ("n0", "n1")) -> Membership:
         """A process of this name, at its own address unless another is named."""
@@ -65,32 +65,32 @@
             tuple(f"a-{each}" for each in seeds),
             self.options,
             self.rng.getrandbits(64),
-            self.clock(name),
+            self.local_time(name),
         )
         key = place.removeprefix("a-")
-        self.all[key] = member
+        self.nodes[key] = member
         self.down.discard(key)
-        self._after(key)
+        self._process_output(key)
         return member
 
     def _introduce(self) -> None:
         """Everybody knows everybody: what is measured is not the joining."""
-        for each in self.all.values():
-            for other in self.all.values():
+        for each in self.nodes.values():
+            for other in self.nodes.values():
                 if other is not each:
                     each._apply(other._own_update(), self.now, "known at the start")
             for name in list(each._transmit_counts):
                 each._set_transmit_count(name, None)
             each.changes.clear()
 
-    def _changed(self, key: str) -> None:
-        for change in self.all[key].changes:
+    def _node_changed(self, key: str) -> None:
+        for change in self.nodes[key].changes:
             self.seen.append(Seen(self.now, key, change))
-        self.all[key].changes.clear()
+        self.nodes[key].changes.clear()
 
     def living(self) -> list[Membership]:
         """Those that run."""
-        return [each for key, each in self.all.items() if key not in self.down and not each.has_left]
+        return [each for key, each in self.nodes.items() if key not in self.down and not each.has_left]
 
     def agreed(self) -> bool:
         """Whether each that runs holds exactly those that run to be alive."""
@@ -101,13 +101,13 @@
 def death(count: int, seed: int, make: Make = Membership, **trouble: Any) -> dict[str, float]:
     """One of so many dies: seconds to the first and to the last that knows."""
     world = World(count, seed, make=make, **trouble)
-    world.run(2.0)
+    world.run_until(2.0)
     gone = world.names[-1]
     world.kill(gone)
     at, limit = world.now, 60.0
     knows: dict[str, float] = {}
     while len(knows) < count - 1 and world.now < at + limit:
-        world.run(world.now + 0.25)
+        world.run_until(world.now + 0.25)
         for seen in world.seen:
             if seen.change.name == gone and seen.change.after is State.DEAD and seen.at >= at:
                 knows.setdefault(seen.by, seen.at - at)
@@ -121,10 +121,10 @@
 ) -> dict[str, float]:
     """Nobody dies: accusations and burials an hour, of all by all, and what each sends a second."""
     world = World(count, seed, make=make, **trouble)
-    world.run(5.0)
+    world.run_until(5.0)
     world.seen.clear()
-    world.sent = world.bytes = world.whole = 0
-    world.run(5.0 + seconds)
+    world.datagrams_sent = world.datagram_bytes = world.full_state_bytes = 0
+    world.run_until(5.0 + seconds)
     accused = {(seen.change.name, seen.change.incarnation) for seen in world.seen
                if seen.change.after is State.SUSPECT}  # fmt: skip
     buried = {(seen.change.name, seen.change.incarnation) for seen in world.seen
@@ -133,7 +133,7 @@
     return {
         "accused": len(accused) * hour,
         "buried": len(buried) * hour,
-        "datagrams": world.sent / seconds / count,
-        "bytes": world.bytes / seconds / count,
-        "whole_bytes": world.whole / seconds / count,
+        "datagrams": world.datagrams_sent / seconds / count,
+        "bytes": world.datagram_bytes / seconds / count,
+        "whole_bytes": world.full_state_bytes / seconds / count,
     }
--- a/switchhub/lab/perf.py
+++ b/switchhub/lab/perf.py
@@ -28,7 +28,7 @@
 from rich.table import Table
 
 from switchhub.lab.live.runner import ROOT, Runner, free_ports
-from switchhub.lab.scenario import Scenario, parse
+from switchhub.lab.scenario import Scenario, parse_scenario
 
 Address = tuple[str, int]
 SIZES = (10, 100, 1000, 5000)
@@ -45,7 +45,7 @@
 
 
 def _scenario(standing: int) -> Scenario:
-    return parse(
+    return parse_scenario(
         {
             "name": "perf",
             "shows": "sound servers that cost nothing, for lab perf",
--- a/switchhub/lab/population.py
+++ b/switchhub/lab/population.py
@@ -18,50 +18,55 @@
     """One client's session: it wants a connection from `at` to `until`, and a message each so often."""
 
     __slots__ = (
-        "again",
-        "at",
+        "arrives_at",
         "balancer",
-        "conn",
-        "good",
+        "class_index",
+        "connection_id",
+        "failed_tries",
+        "good_messages",
         "group",
         "hint",
         "index",
-        "kind",
+        "is_up",
+        "leaves_at",
+        "lines_sent",
         "load",
-        "next_at",
-        "phase",
+        "message_phase",
+        "next_message_at",
         "retried",
-        "sent",
+        "returning",
         "tenant",
-        "tries",
-        "until",
-        "up",
-        "wanted",
+        "wanted_messages",
     )
 
-    def __init__(self, index: int, at: float, until: float, kind: int) -> None:
-        self.index, self.at, self.until, self.kind = index, at, until, kind
+    def __init__(self, index: int, arrives_at: float, leaves_at: float, class_index: int) -> None:
+        self.index, self.arrives_at, self.leaves_at, self.class_index = (
+            index,
+            arrives_at,
+            leaves_at,
+            class_index,
+        )
         self.tenant = 0
         self.group: str | None = None
         self.load = 0.0
         self.hint: float | None = None
-        self.phase = 0.0
-        self.next_at = 0.0  # when its next message is due
-        self.tries = 0  # failed ones since it last stood
-        self.conn = ""  # the id of its present connection
+        self.message_phase = 0.0
+        self.next_message_at = 0.0  # when its next message is due
+        self.failed_tries = 0  # failed ones since it last stood
+        self.connection_id = ""  # the id of its present connection
         self.balancer = -1
-        self.up = self.again = self.retried = False
-        self.sent = 0  # lines on the present connection
-        self.wanted = self.good = 0
+        self.is_up = self.returning = self.retried = False
+        self.lines_sent = 0  # lines on the present connection
+        self.wanted_messages = self.good_messages = 0
 
     @property
-    def key(self) -> str:
+    def flow_key(self) -> str:
         """The flow's key: one client, one key."""
         return f"{self.index:016x}"
 
 
 def _draw(scenario: Scenario, rng: Random, client: Client) -> None:
-    kind = scenario.classes[client.kind]
+    kind = scenario.classes[client.class_index]
     spread = kind.load_spread
     client.load = kind.load * math.exp(rng.gauss(0.0, spread) - spread * spread / 2)
     error = math.exp(rng.gauss(0.0, kind.hint_error) - kind.hint_error**2 / 2)
@@ -73,21 +78,21 @@
         ]
     if scenario.clients.groups:
         client.group = f"{rng.randrange(scenario.clients.groups):016x}"
-    client.phase = rng.random() * scenario.clients.message_every_s
+    client.message_phase = rng.random() * scenario.clients.message_every_s
 
 
-def rates(scenario: Scenario) -> list[float]:
+def arrival_rates(scenario: Scenario) -> list[float]:
     """Arrivals a second of each class."""
     total = sum(each.share for each in scenario.classes)
     work = scenario.clients.load * scenario.capacity
     return [work * each.share / total / each.load / each.life_s for each in scenario.classes]
 
 
-def standing(scenario: Scenario, seed: int) -> list[Client]:
+def initial_clients(scenario: Scenario, seed: int) -> list[Client]:
     """Those whose connections are open when the run starts; lives have no memory."""
     rng = Random(f"{seed}/standing")
     out: list[Client] = []
-    for kind, rate in enumerate(rates(scenario)):
+    for kind, rate in enumerate(arrival_rates(scenario)):
         life = scenario.classes[kind].life_s
         for _ in range(round(rate * life * scenario.clients.standing)):
             client = Client(len(out), 0.0, rng.expovariate(1 / life), kind)
@@ -96,14 +101,14 @@
     return out
 
 
-def arrivals(scenario: Scenario, timeline: Timeline, seed: int, first: int) -> Iterator[Client]:
+def arriving_clients(scenario: Scenario, timeline: Timeline, seed: int, first: int) -> Iterator[Client]:
     """Those that come during the run, in order; a Poisson process for each class, thinned where surges
     end."""
     rng = Random(f"{seed}/arrivals")
     peak = 1.0
-    for each in timeline.of("surge"):
+    for each in timeline.with_effects("surge"):
         peak *= max(1.0, each.value)
-    each_rate = rates(scenario)
+    each_rate = arrival_rates(scenario)
     total = sum(each_rate) * peak
     now, index = 0.0, first
     if total <= 0:
@@ -115,36 +120,36 @@
         kind = rng.choices(range(len(each_rate)), each_rate)[0]
         client = Client(index, now, now + rng.expovariate(1 / scenario.classes[kind].life_s), kind)
         _draw(scenario, rng, client)
-        if rng.random() * peak < timeline.surge(now):
+        if rng.random() * peak < timeline.arrival_factor(now):
             index += 1
             yield client
 
 
-class Patience:
+class RetryPolicy:
     """What clients do after a refusal, a failure, a move or a break; drawn from one seed."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._spec, self._classes = scenario.clients, scenario.classes
         self._rng = Random(f"{seed}/patience")
 
-    def after_answer(self, client: Client, failed: bool, after_ms: float = 0.0) -> float | None:
+    def delay_after_answer(self, client: Client, failed: bool, after_ms: float = 0.0) -> float | None:
         """Seconds until it tries again after a refusal or failure; none: it gives up."""
-        client.tries += 1
+        client.failed_tries += 1
         client.retried = True
-        if client.tries > self._spec.retries:
+        if client.failed_tries > self._spec.retries:
             return None
-        if failed and self._classes[client.kind].repeat == "unsafe":
+        if failed and self._classes[client.class_index].repeat == "unsafe":
             return None
-        wait = min(self._spec.retry_ms * 2.0 ** (client.tries - 1), self._spec.retry_max_ms)
+        wait = min(self._spec.retry_ms * 2.0 ** (client.failed_tries - 1), self._spec.retry_max_ms)
         return max(wait * self._rng.uniform(0.5, 1.5), after_ms) / 1000
 
-    def after_break(self, client: Client) -> float:
+    def delay_after_disconnect(self, client: Client) -> float:
         """Seconds until a moved or cut-off client comes again."""
-        client.tries, client.again, client.retried = 0, True, False
+        client.failed_tries, client.returning, client.retried = 0, True, False
         return self._spec.return_ms * self._rng.uniform(0.5, 1.5) / 1000
 
 
-class Front:
+class Dispatcher:
     """Deals connections out among the balancers of a zone, in turn; others only where the zone has none."""
 
     def __init__(self, scenario: Scenario) -> None:
@@ -153,15 +158,15 @@
         self._turn = 0
         self._zone_turn = 0
 
-    def out(self, balancer: int) -> None:
+    def remove(self, balancer: int) -> None:
         """It is dealt nothing from now on."""
         self._in[balancer] = False
 
-    def back(self, balancer: int) -> None:
+    def restore(self, balancer: int) -> None:
         """It answers again."""
         self._in[balancer] = True
 
-    def deal(self) -> int:
+    def next_balancer(self) -> int:
         """The balancer of the next connection; -1 where there is none."""
         count = len(self._in)
         for _ in range(count):
--- a/switchhub/lab/tally.py
+++ b/switchhub/lab/run_statistics.py
@@ -13,16 +13,16 @@
 
 from hdrh.histogram import HdrHistogram
 
-from switchhub.lab.judge import Broken
+from switchhub.lab.checker import Violation
 from switchhub.lab.scenario import Scenario
 
-VERSION = 1
-BIN = 0.5  # seconds of one step of the series
+RESULT_VERSION = 1
+SERIES_STEP_S = 0.5  # seconds of one step of the series
 FIGURES = (50.0, 90.0, 99.0, 99.9)
 TOP = 120_000_000  # microseconds: the longest time that a histogram tells apart
 
 
-class Times:
+class DurationHistogram:
     """Durations in microseconds, as an HDR histogram of three digits."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
             out.record_value(min(max(value * 10, 1), TOP), count)
         return out
 
-    def figures(self) -> dict[str, float]:
+    def percentiles(self) -> dict[str, float]:
         """Percentiles in milliseconds."""
         histogram = self.histogram()
         if not histogram.total_count:
@@ -50,68 +50,68 @@
         return out
 
 
-class Tally:
+class RunStatistics:
     """Counts of one run."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
-        steps = int(scenario.seconds / BIN) + 1
+        steps = int(scenario.seconds / SERIES_STEP_S) + 1
         self._worths = [each.worth for each in scenario.classes]
-        self.wanted = [[0] * steps for _ in scenario.classes]
-        self.good = [[0] * steps for _ in scenario.classes]
-        self.answers = [Counter[str]() for _ in scenario.classes]
-        self.steps: list[Counter[str]] = [Counter() for _ in range(steps)]
-        self.loads: dict[str, list[float]] = {}
-        self.setups, self.messages = Times(), Times()
-        self.counts: Counter[str] = Counter()
+        self.wanted_messages = [[0] * steps for _ in scenario.classes]
+        self.good_messages = [[0] * steps for _ in scenario.classes]
+        self.answer_counts = [Counter[str]() for _ in scenario.classes]
+        self.step_events: list[Counter[str]] = [Counter() for _ in range(steps)]
+        self.server_loads: dict[str, list[float]] = {}
+        self.setup_times, self.message_times = DurationHistogram(), DurationHistogram()
+        self.event_counts: Counter[str] = Counter()
         self._last = steps - 1
 
-    def step(self, at: float) -> int:
+    def step_index(self, at: float) -> int:
         """The step of the series that a moment belongs to."""
-        return min(max(int(at / BIN), 0), self._last)
+        return min(max(int(at / SERIES_STEP_S), 0), self._last)
 
-    def answer(self, at: float, kind: int, word: str) -> None:
+    def count_answer(self, at: float, kind: int, word: str) -> None:
         """A client has its final answer."""
-        self.answers[kind][word] += 1
-        self.steps[self.step(at)][f"answer.{self._scenario.classes[kind].name}.{word}"] += 1
+        self.answer_counts[kind][word] += 1
+        self.step_events[self.step_index(at)][f"answer.{self._scenario.classes[kind].name}.{word}"] += 1
 
-    def event(self, at: float, name: str) -> None:
+    def count_event(self, at: float, name: str) -> None:
         """Something that is counted, over time and in all."""
-        self.counts[name] += 1
-        self.steps[self.step(at)][name] += 1
+        self.event_counts[name] += 1
+        self.step_events[self.step_index(at)][name] += 1
 
     def service(self, first: float = 0.0, last: float = 1e9) -> float:
         """Worth of the messages well served over the worth of those that clients wanted to send; 1 if none
         were."""
-        low, high = self.step(first), self.step(last)
+        low, high = self.step_index(first), self.step_index(last)
         wanted = good = 0.0
         for kind, worth in enumerate(self._worths):
-            wanted += worth * sum(self.wanted[kind][low : high + 1])
-            good += worth * sum(self.good[kind][low : high + 1])
+            wanted += worth * sum(self.wanted_messages[kind][low : high + 1])
+            good += worth * sum(self.good_messages[kind][low : high + 1])
         return good / wanted if wanted else 1.0
 
-    def series(self) -> list[float | None]:
+    def service_series(self) -> list[float | None]:
         """Service in each step; none where nothing was wanted."""
         out: list[float | None] = []
         for step in range(self._last + 1):
-            wanted = sum(worth * self.wanted[kind][step] for kind, worth in enumerate(self._worths))
-            good = sum(worth * self.good[kind][step] for kind, worth in enumerate(self._worths))
+            wanted = sum(worth * self.wanted_messages[kind][step] for kind, worth in enumerate(self._worths))
+            good = sum(worth * self.good_messages[kind][step] for kind, worth in enumerate(self._worths))
             out.append(round(good / wanted, 6) if wanted else None)
         return out
 
 
-def result(
+def result_data(
     scenario: Scenario,
     seed: int,
     engine: str,
     policy: str,
-    tally: Tally,
-    broken: list[Broken],
+    tally: RunStatistics,
+    broken: list[Violation],
     met: dict[str, int],
 ) -> dict[str, Any]:
     """The run as plain data."""
     return {
-        "version": VERSION,
+        "version": RESULT_VERSION,
         "scenario": scenario.name,
         "seed": seed,
         "engine": engine,
@@ -119,25 +119,25 @@
         "service": round(tally.service(), 6),
         "by_class": {
             each.name: {
-                "wanted": sum(tally.wanted[kind]),
-                "good": sum(tally.good[kind]),
-                "answers": dict(sorted(tally.answers[kind].items())),
+                "wanted": sum(tally.wanted_messages[kind]),
+                "good": sum(tally.good_messages[kind]),
+                "answers": dict(sorted(tally.answer_counts[kind].items())),
             }
             for kind, each in enumerate(scenario.classes)
         },
-        "setup": tally.setups.figures(),
-        "message": tally.messages.figures(),
-        "counts": dict(sorted(tally.counts.items())),
+        "setup": tally.setup_times.percentiles(),
+        "message": tally.message_times.percentiles(),
+        "counts": dict(sorted(tally.event_counts.items())),
         "troubles": [
             {**each.model_dump(include={"name", "kind", "at_s", "seconds"}), "meets": met.get(each.name, 0)}
             for each in scenario.troubles
         ],
         "series": {
-            "step_s": BIN,
-            "service": tally.series(),
-            "events": [dict(sorted(each.items())) for each in tally.steps],
+            "step_s": SERIES_STEP_S,
+            "service": tally.service_series(),
+            "events": [dict(sorted(each.items())) for each in tally.step_events],
             "loads": {
-                name: [round(each, 4) for each in loads] for name, loads in sorted(tally.loads.items())
+                name: [round(each, 4) for each in loads] for name, loads in sorted(tally.server_loads.items())
             },
         },
         "broken": [
@@ -146,13 +146,13 @@
                 "rule": each.rule,
                 "at": round(each.at, 6),
                 "text": each.text,
-                "story": each.story,
+                "story": each.history,
             }
             for each in broken
         ],
     }
 
 
-def dump(data: Any) -> str:
+def dump_json(data: Any) -> str:
     """JSON whose bytes depend on nothing but the data."""
     return json.dumps(data, sort_keys=True, indent=1) + "\n"
--- a/switchhub/lab/runs.py
+++ b/switchhub/lab/runs.py
@@ -19,8 +19,8 @@
 from rich.progress import Progress
 
 from switchhub.lab import model
+from switchhub.lab.run_statistics import result_data
 from switchhub.lab.scenario import Scenario
-from switchhub.lab.tally import result
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,11 +43,13 @@
 
         make = maker(job.other_checkout)
     else:
-        make = model.maker(job.policy)
+        make = model.decider_factory(job.policy)
     keep_on = job.policy != "design" if job.keep_on is None else job.keep_on
-    played = model.Run(job.scenario, job.seed, make, keep_on=keep_on, passed=passed).play()
+    played = model.Simulation(job.scenario, job.seed, make, keep_on=keep_on, on_progress=passed).run()
     name = job.policy if job.other_checkout is None else "against"
-    return result(job.scenario, job.seed, "model", name, played.tally, played.broken, played.met)
+    return result_data(
+        job.scenario, job.seed, "model", name, played.statistics, played.violations, played.target_counts
+    )
 
 
 def run_job_with_progress(job: Job) -> dict[str, Any]:
--- a/switchhub/lab/scenario.py
+++ b/switchhub/lab/scenario.py
@@ -17,7 +17,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 SERVERS_MAX, BALANCERS_MAX, STANDING_MAX = 20_000, 2_000, 2_000_000
-CORE = 1_000_000.0  # microseconds of work that a standard core does in a second
+CORE_WORK_PER_S = 1_000_000.0  # microseconds of work that a standard core does in a second
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,39}$")]
 Part = Annotated[float, Field(ge=0.0, le=1.0, allow_inf_nan=False)]
@@ -35,16 +35,16 @@
 class ScenarioError(ValueError):
     """A scenario that does not serve; `faults` has a line for each reason."""
 
-    def __init__(self, faults: list[str]) -> None:
-        super().__init__("; ".join(faults))
-        self.faults = faults
+    def __init__(self, problems: list[str]) -> None:
+        super().__init__("; ".join(problems))
+        self.problems = problems
 
 
 class _Part(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Servers(_Part):
+class ServerGroup(_Part):
     """Servers of one make, spread over the zones in turn unless one is named."""
 
     name: Name
@@ -62,7 +62,7 @@
     """How many it holds; beyond that it answers `BUSY`."""
 
 
-class Cold(_Part):
+class ColdStart(_Part):
     """A server that has just started: its part of speed grows from `share` to 1, and it may fall over."""
 
     seconds: Positive = 8.0
@@ -83,7 +83,7 @@
     ask_within_s: Positive = 10.0
 
 
-class Class(_Part):
+class ConnectionClass(_Part):
     """A class of connections. Loads are drawn from a lognormal with this mean and spread, lives are
     exponential."""
 
@@ -97,7 +97,7 @@
     setup_aim_ms: Annotated[float, Field(gt=0.0, le=60_000.0)] = 300.0
     message_aim_ms: Annotated[float, Field(gt=0.0, le=60_000.0)] = 60.0
     worth: float = Field(default=1.0, ge=0, le=1e6, allow_inf_nan=False)
-    load: float = Field(default=4000.0, gt=0, le=CORE * 64, allow_inf_nan=False)
+    load: float = Field(default=4000.0, gt=0, le=CORE_WORK_PER_S * 64, allow_inf_nan=False)
     load_spread: float = Field(default=0.5, ge=0, le=3, allow_inf_nan=False)
     hint_error: float = Field(default=0.3, ge=0, le=3, allow_inf_nan=False)
     """Spread of the lognormal factor between the load and its hint."""
@@ -201,10 +201,10 @@
     zones: tuple[Name, ...] = Field(default=("a",), min_length=1, max_length=50)
     grace_ms: Millis = 2000.0
     balancers: Balancers = Balancers()
-    servers: tuple[Servers, ...] = Field(min_length=1)
-    cold: Cold = Cold()
+    servers: tuple[ServerGroup, ...] = Field(min_length=1)
+    cold: ColdStart = ColdStart()
     discovery: DiscoverySpec = DiscoverySpec()
-    classes: tuple[Class, ...] = Field(min_length=1, max_length=200)
+    classes: tuple[ConnectionClass, ...] = Field(min_length=1, max_length=200)
     tenants: tuple[Tenant, ...] = (Tenant(name="one"),)
     clients: Clients = Clients()
     network: Network = Network()
@@ -220,10 +220,10 @@
     @property
     def capacity(self) -> float:
         """What all sound servers do together, microseconds of work a second."""
-        return sum(each.count * each.cores * each.speed * CORE for each in self.servers)
+        return sum(each.count * each.cores * each.speed * CORE_WORK_PER_S for each in self.servers)
 
     @property
-    def standing(self) -> int:
+    def standing_connections(self) -> int:
         """Connections that a steady state holds."""
         total = sum(each.share for each in self.classes)
         work = self.clients.load * self.capacity
@@ -238,7 +238,7 @@
         return [f"b{index}" for index in range(self.balancers.count)]
 
 
-def targets(scenario: Scenario, trouble: Trouble) -> list[str]:
+def possible_targets(scenario: Scenario, trouble: Trouble) -> list[str]:
     """The names among which a trouble finds whom it meets; none for those that meet everybody alike."""
     if trouble.kind in SERVER_TROUBLES:
         return scenario.server_names()
@@ -247,7 +247,7 @@
     return list(scenario.zones) if trouble.kind == "zone-cut" else []
 
 
-def matching(names: list[str], patterns: tuple[str, ...]) -> list[str]:
+def matching_names(names: list[str], patterns: tuple[str, ...]) -> list[str]:
     """Those of the names that fit one of the patterns."""
     return [name for name in names if any(fnmatch.fnmatchcase(name, pattern) for pattern in patterns)]
 
@@ -266,15 +266,17 @@
             faults.append(f"servers.{index}.zone: no zone {group.zone!r} in zones")
     if sum(each.count for each in scenario.servers) > SERVERS_MAX:
         faults.append(f"servers: more than {SERVERS_MAX} in all")
-    if scenario.standing > STANDING_MAX:
-        faults.append(f"clients.load: {scenario.standing} standing connections, {STANDING_MAX} at most")
+    if scenario.standing_connections > STANDING_MAX:
+        faults.append(
+            f"clients.load: {scenario.standing_connections} standing connections, {STANDING_MAX} at most"
+        )
     for index, each in enumerate(scenario.troubles):
         where = f"troubles.{index}"
         if each.at_s > scenario.seconds:
             faults.append(f"{where}.at_s: {each.at_s} is after the scenario's end at {scenario.seconds}")
-        names = targets(scenario, each)
+        names = possible_targets(scenario, each)
         for pattern in each.meets if names else ():
-            if not matching(names, (pattern,)):
+            if not matching_names(names, (pattern,)):
                 faults.append(f"{where}.meets: {pattern!r} fits none of {names[0]} to {names[-1]}")
         if each.kind == "errors" and each.value > 1:
             faults.append(f"{where}.value: a part of set-ups, 0 to 1, not {each.value}")
@@ -287,7 +289,7 @@
     return ".".join(str(each) for each in location) or "(file)"
 
 
-def parse(data: dict[str, Any]) -> Scenario:
+def parse_scenario(data: dict[str, Any]) -> Scenario:
     """A scenario of plain data; `ScenarioError` with every fault found."""
     try:
         return Scenario.model_validate(data)
@@ -296,7 +298,7 @@
         for each in error.errors(include_url=False):
             cause = each.get("ctx", {}).get("error")
             if isinstance(cause, ScenarioError):
-                faults += cause.faults
+                faults += cause.problems
             else:
                 faults.append(f"{_path(each['loc'])}: {each['msg']}, not {_short(each['input'])}")
         raise ScenarioError(faults) from None
@@ -307,11 +309,11 @@
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def read(path: Path) -> Scenario:
+def read_scenario(path: Path) -> Scenario:
     """A scenario's file; `ScenarioError` with every fault found, the file's name before each."""
     try:
-        return parse(tomllib.loads(path.read_text(encoding="utf-8")))
+        return parse_scenario(tomllib.loads(path.read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ScenarioError([f"{path}: {error}"]) from None
     except ScenarioError as error:
-        raise ScenarioError([f"{path}: {fault}" for fault in error.faults]) from None
+        raise ScenarioError([f"{path}: {fault}" for fault in error.problems]) from None
--- a/switchhub/lab/timeline.py
+++ b/switchhub/lab/timeline.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import NamedTuple
 
-from switchhub.lab.scenario import Scenario, Trouble, matching, targets
+from switchhub.lab.scenario import Scenario, Trouble, matching_names, possible_targets
 
 FOREVER = 1e9
 
@@ -26,7 +26,7 @@
     trouble: str
 
 
-class Change(NamedTuple):
+class IntervalChange(NamedTuple):
     """An interval begins or ends."""
 
     at: float
@@ -34,13 +34,13 @@
     interval: Interval
 
 
-class Heard(NamedTuple):
+class DiscoveryUpdate(NamedTuple):
     """What discovery knows of a server from a moment on."""
 
     at: float
     server: str
     state: str
-    born: float
+    started_at: float
 
 
 @dataclass(slots=True)
@@ -49,21 +49,21 @@
 
     intervals: list[Interval]
     seconds: float
-    changes: list[Change] = field(default_factory=list)
+    changes: list[IntervalChange] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Sort what begins and ends."""
         self.changes = sorted(
-            [Change(each.start, True, each) for each in self.intervals]
-            + [Change(each.end, False, each) for each in self.intervals if each.end < FOREVER],
+            [IntervalChange(each.start, True, each) for each in self.intervals]
+            + [IntervalChange(each.end, False, each) for each in self.intervals if each.end < FOREVER],
             key=lambda change: (change.at, change.begins, change.interval),
         )
 
-    def of(self, *effects: str) -> list[Interval]:
+    def with_effects(self, *effects: str) -> list[Interval]:
         """The intervals of these effects, by their starts."""
         return sorted(each for each in self.intervals if each.effect in effects)
 
-    def active(self, effect: str, target: str, at: float) -> bool:
+    def is_active(self, effect: str, target: str, at: float) -> bool:
         """Whether the effect meets the target then."""
         return any(
             each.start <= at < each.end
@@ -71,7 +71,7 @@
             if each.effect == effect and each.target == target
         )
 
-    def surge(self, at: float) -> float:
+    def arrival_factor(self, at: float) -> float:
         """By how much arrivals are multiplied then."""
         factor = 1.0
         for each in self.intervals:
@@ -81,7 +81,7 @@
 
 
 def _met(scenario: Scenario, trouble: Trouble, rng: Random) -> list[str]:
-    names = matching(targets(scenario, trouble), trouble.meets)
+    names = matching_names(possible_targets(scenario, trouble), trouble.meets)
     count = round(trouble.part * len(names))
     chosen = set(rng.sample(names, count))
     return [name for name in names if name in chosen]
@@ -112,7 +112,7 @@
     return out
 
 
-def expand(scenario: Scenario, seed: int) -> Timeline:
+def expand_troubles(scenario: Scenario, seed: int) -> Timeline:
     """All intervals of a scenario; whom a part of the targets is, the seed decides."""
     intervals: list[Interval] = []
     for trouble in scenario.troubles:
@@ -120,11 +120,11 @@
     return Timeline(intervals, scenario.seconds)
 
 
-def dead_spans(timeline: Timeline, server: str) -> list[tuple[float, float]]:
+def downtimes(timeline: Timeline, server: str) -> list[tuple[float, float]]:
     """When the server does not run, overlapping troubles merged: it is back when the last of them has
     ended."""
     spans: list[tuple[float, float]] = []
-    for each in timeline.of("die"):
+    for each in timeline.with_effects("die"):
         if each.target != server:
             continue
         if spans and each.start <= spans[-1][1]:
@@ -134,27 +134,29 @@
     return spans
 
 
-def heard(scenario: Scenario, timeline: Timeline) -> list[Heard]:
+def discovery_updates(scenario: Scenario, timeline: Timeline) -> list[DiscoveryUpdate]:
     """What discovery comes to know, in order. A lying roster names the dead as ready."""
     delay, notice = scenario.discovery.delay_s, scenario.discovery.notice_s
-    out: list[Heard] = []
+    out: list[DiscoveryUpdate] = []
     for server in scenario.server_names():
-        spans = dead_spans(timeline, server)
-        for each in timeline.of("drain"):
+        spans = downtimes(timeline, server)
+        for each in timeline.with_effects("drain"):
             if each.target == server:
-                out.append(Heard(each.start + delay, server, "Terminating", 0.0))
+                out.append(DiscoveryUpdate(each.start + delay, server, "Terminating", 0.0))
         for start, end in spans:
-            planned = any(each.end == start for each in timeline.of("drain") if each.target == server)
+            planned = any(
+                each.end == start for each in timeline.with_effects("drain") if each.target == server
+            )
             known = start + (delay if planned else notice)
-            lies = any(each.start <= known < each.end for each in timeline.of("roster-lying"))
+            lies = any(each.start <= known < each.end for each in timeline.with_effects("roster-lying"))
             if known < end + delay and not lies:
-                out.append(Heard(known, server, "Gone", 0.0))
+                out.append(DiscoveryUpdate(known, server, "Gone", 0.0))
             if end < FOREVER:
-                out.append(Heard(end + delay, server, "Ready", end))
+                out.append(DiscoveryUpdate(end + delay, server, "Ready", end))
     return sorted(out)
 
 
-def names_met(scenario: Scenario, timeline: Timeline) -> dict[str, int]:
+def count_targets(scenario: Scenario, timeline: Timeline) -> dict[str, int]:
     """How many targets each trouble meets, for the results; 0 is allowed and said."""
     met = {each.name: 0 for each in scenario.troubles}
     for each in scenario.troubles:
@@ -163,4 +165,12 @@
     return met
 
 
-__all__ = ["FOREVER", "Change", "Heard", "Interval", "Timeline", "dead_spans", "expand"]
+__all__ = [
+    "FOREVER",
+    "DiscoveryUpdate",
+    "Interval",
+    "IntervalChange",
+    "Timeline",
+    "downtimes",
+    "expand_troubles",
+]
--- a/switchhub/lab/virtual.py
+++ b/switchhub/lab/virtual_network.py
@@ -18,7 +18,7 @@
 CONNECT = 3  # ways that a connection costs
 
 
-class Part(Protocol):
+class Node(Protocol):
     """Messages and the time in; messages and a deadline out."""
 
     out: list[Any]
@@ -36,86 +36,86 @@
         ...
 
 
-APart = TypeVar("APart", bound=Part)
+NodeT = TypeVar("NodeT", bound=Node)
 
 
-class Net(Generic[APart]):
+class VirtualNetwork(Generic[NodeT]):
     """Parts by their keys; the address of each is `a-KEY`."""
 
-    def __init__(self, rng: Random, loss: float = 0.0, stall: float = 1.0) -> None:
+    def __init__(self, rng: Random, loss: float = 0.0, stall_max_s: float = 1.0) -> None:
         self.now = 0.0
-        self.rng, self.loss, self.stall = rng, loss, stall
-        self.sent = self.bytes = self.whole = 0
-        self.cut: Callable[[str, str], bool] = lambda a, b: False
+        self.rng, self.loss, self.stall_max_s = rng, loss, stall_max_s
+        self.datagrams_sent = self.datagram_bytes = self.full_state_bytes = 0
+        self.is_cut: Callable[[str, str], bool] = lambda a, b: False
         self.down: set[str] = set()
-        self.drift: dict[str, float] = {}  # how fast a clock runs
-        self.all: dict[str, APart] = {}
-        self._busy: dict[str, float] = {}  # until when one stands still
+        self.clock_rates: dict[str, float] = {}  # how fast a clock runs
+        self.nodes: dict[str, NodeT] = {}
+        self._paused_until: dict[str, float] = {}  # until when one stands still
         self._heap: list[tuple[float, int, str, str, Any]] = []
         self._order = 0
-        self._next: dict[str, float] = {}
+        self._wakeups: dict[str, float] = {}
 
-    def clock(self, key: str) -> float:
+    def local_time(self, key: str) -> float:
         """The time by its clock."""
-        return self.now * self.drift.get(key, 1.0)
+        return self.now * self.clock_rates.get(key, 1.0)
 
-    def _post(self, delay: float, to: str, sender: str, message: Any) -> None:
+    def _schedule(self, delay: float, to: str, sender: str, message: Any) -> None:
         self._order += 1
         heapq.heappush(self._heap, (self.now + delay, self._order, to, sender, message))
 
-    def _changed(self, key: str) -> None:
+    def _node_changed(self, key: str) -> None:
         """A part has heard something or done what was due."""
 
-    def _after(self, key: str) -> None:
+    def _process_output(self, key: str) -> None:
         """What a part has to say, and when it is to be woken."""
-        part = self.all[key]
+        part = self.nodes[key]
         out = part.out[:]
         part.out.clear()
         for address, message in out:
             to = address.removeprefix("a-")
             size = len(pack("lab", message))
             if isinstance(message, FullState):
-                self.whole += size
+                self.full_state_bytes += size
                 ways = CONNECT
             else:
                 assert size <= MAX_DATAGRAM_BYTES, (size, message)
-                self.sent += 1
-                self.bytes += size
+                self.datagrams_sent += 1
+                self.datagram_bytes += size
                 ways = 1
                 if self.rng.random() < self.loss:
                     continue
-            if self.cut(key, to) or (ways > 1 and self.cut(to, key)) or to in self.down:
+            if self.is_cut(key, to) or (ways > 1 and self.is_cut(to, key)) or to in self.down:
                 continue
-            self._post(ways * LATENCY * self.rng.lognormvariate(0.0, 0.5), to, key, message)
-        self._changed(key)
-        due = part.deadline() / self.drift.get(key, 1.0)
-        if self._next.get(key) != due:
-            self._next[key] = due
+            self._schedule(ways * LATENCY * self.rng.lognormvariate(0.0, 0.5), to, key, message)
+        self._node_changed(key)
+        due = part.deadline() / self.clock_rates.get(key, 1.0)
+        if self._wakeups.get(key) != due:
+            self._wakeups[key] = due
             if due < float("inf"):
-                self._post(max(0.0, due - self.now) + 1e-6, key, "", None)
+                self._schedule(max(0.0, due - self.now) + 1e-6, key, "", None)
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Let it pass."""
         while self._heap and self._heap[0][0] <= until:
             self.now, order, to, sender, message = heapq.heappop(self._heap)
             if sender == "!slow":
-                stands = self.rng.random() * self.stall
-                self._busy[to] = self.now + stands
-                self._post(stands + self.rng.random() * 3, to, sender, None)
+                stands = self.rng.random() * self.stall_max_s
+                self._paused_until[to] = self.now + stands
+                self._schedule(stands + self.rng.random() * 3, to, sender, None)
                 continue
-            if to in self.down or to not in self.all:
+            if to in self.down or to not in self.nodes:
                 continue
-            if (free := self._busy.get(to, 0.0)) > self.now:  # it reads when it goes on, in order
+            if (free := self._paused_until.get(to, 0.0)) > self.now:  # it reads when it goes on, in order
                 heapq.heappush(self._heap, (free, order, to, sender, message))
                 continue
-            part = self.all[to]
+            part = self.nodes[to]
             if message is None:
-                if self._next.get(to, -1.0) > self.now:
+                if self._wakeups.get(to, -1.0) > self.now:
                     continue
-                part.turn(self.clock(to))
+                part.turn(self.local_time(to))
             else:
-                part.receive(self.clock(to), message)
-            self._after(to)
+                part.receive(self.local_time(to), message)
+            self._process_output(to)
         self.now = until
 
     def kill(self, *keys: str) -> None:
@@ -124,4 +124,4 @@
 
     def pause(self, key: str, seconds: float) -> None:
         """It stands still, and reads then what came."""
-        self._busy[key] = self.now + seconds
+        self._paused_until[key] = self.now + seconds
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -14,16 +14,16 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
+from switchhub.lab.balancer_settings import configuration
 from switchhub.lab.live.lab_process import reset_transport
-from switchhub.lab.scenario import parse
-from switchhub.lab.told import nested
+from switchhub.lab.scenario import parse_scenario
 
 ROOT = Path(__file__).parent.parent
 TIMEOUT_S = 10.0  # seconds in which anything that a test waits for must come
 CONNECTION_IDS = iter(range(1, 1_000_000))
 
 
-DEPLOYMENT = parse(
+DEPLOYMENT = parse_scenario(
     {
         "name": "rig",
         "shows": "a deployment for the program's tests",
@@ -45,7 +45,7 @@
 
 def settings(**changes: Any) -> dict[str, Any]:
     """Return a deployment's nested settings, with `changes` at the top level. Servers report their delay."""
-    defaults = nested(DEPLOYMENT, 0)
+    defaults = configuration(DEPLOYMENT, 0)
     defaults["FamilyInfo"]["TellsDelay"] = True
     return {**defaults, **changes}
 
--- a/tests/lab/mutants.py
+++ b/tests/lab/mutants.py
@@ -6,106 +6,112 @@
 from collections.abc import Iterable
 
 from switchhub.decision.interface import Server, ServerListKind, ServerState
-from switchhub.lab.model import Conn, Shell
+from switchhub.lab.model import SimulatedBalancer, SimulatedConnection
 
 
-class AnswersTwice(Shell):
-    def answer(self, conn: Conn, line: str) -> None:
-        super().answer(conn, line)
-        super().answer(conn, line)
+class AnswersTwice(SimulatedBalancer):
+    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
+        super().send_answer(conn, line)
+        super().send_answer(conn, line)
 
 
-class AnswersNever(Shell):
-    def answer(self, conn: Conn, line: str) -> None:
+class AnswersNever(SimulatedBalancer):
+    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
         if conn.client.index % 50:
-            super().answer(conn, line)
+            super().send_answer(conn, line)
 
 
-class AnswersLate(Shell):
-    def answer(self, conn: Conn, line: str) -> None:
+class AnswersLate(SimulatedBalancer):
+    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
         late = 1.52 if conn.client.index % 50 == 0 else 0.0
-        self.run.at(self.run.now + self.run.near + late, self.run.hears, self, conn, line)
+        self.simulation.schedule(
+            self.simulation.now + self.simulation.zone_delay + late,
+            self.simulation.deliver_answer,
+            self,
+            conn,
+            line,
+        )
 
 
-class Forges(Shell):
-    def answer(self, conn: Conn, line: str) -> None:
-        super().answer(conn, "UP made-up" if line.startswith("UP") else line)
+class Forges(SimulatedBalancer):
+    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
+        super().send_answer(conn, "UP made-up" if line.startswith("UP") else line)
 
 
-class PassesOverDrains(Shell):
+class PassesOverDrains(SimulatedBalancer):
     """Its module and its connections are never told that a server leaves."""
 
-    def lists(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
+    def apply_server_list(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
         if kind is ServerListKind.WHOLE:
             kind = ServerListKind.CHANGES
-        super().lists(kind, tuple(each for each in servers if each.state is ServerState.READY))
+        super().apply_server_list(kind, tuple(each for each in servers if each.state is ServerState.READY))
 
 
-class StopsAsking(Shell):
+class StopsAsking(SimulatedBalancer):
     """Does not call discovery again once a call has failed."""
 
     def tick(self) -> None:
-        if not self.watching and self.run.now > 1.0:
-            self.facade.tick(self.run.ms)
+        if not self.watching and self.simulation.now > 1.0:
+            self.decider.tick(self.simulation.now_ms)
             return
         super().tick()
 
 
-class ForgetsBirths(Shell):
+class ForgetsBirths(SimulatedBalancer):
     """Takes each server for a warm one."""
 
-    def lists(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
-        super().lists(kind, tuple(each._replace(started_at=0.0) for each in servers))
+    def apply_server_list(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
+        super().apply_server_list(kind, tuple(each._replace(started_at=0.0) for each in servers))
 
 
-class RepeatsWhatMayHaveRun(Shell):
+class RepeatsWhatMayHaveRun(SimulatedBalancer):
     """After an error it tries the next server by itself."""
 
-    def says_after(self, conn: Conn) -> None:
-        names = sorted(self.ready)
-        self.attempt(conn, names[(names.index(conn.server) + 1) % len(names)], 0.5)
+    def repeat_on_next_server(self, conn: SimulatedConnection) -> None:
+        names = sorted(self.ready_servers)
+        self.start_attempt(conn, names[(names.index(conn.server) + 1) % len(names)], 0.5)
 
-    def place(self, conn: Conn) -> None:
-        if conn.attempt and conn.server in self.ready:
-            return self.says_after(conn)
-        super().place(conn)
+    def place_connection(self, conn: SimulatedConnection) -> None:
+        if conn.attempt and conn.server in self.ready_servers:
+            return self.repeat_on_next_server(conn)
+        super().place_connection(conn)
 
 
-class TriesTwoAtOnce(Shell):
-    def write(self, conn: Conn, token: int, timeout: float) -> None:
-        names = sorted(self.ready)
-        other = Conn(conn.id, conn.client, conn.request)
+class TriesTwoAtOnce(SimulatedBalancer):
+    def write_first_line(self, conn: SimulatedConnection, token: int, timeout: float) -> None:
+        names = sorted(self.ready_servers)
+        other = SimulatedConnection(conn.id, conn.client, conn.request)
         other.server, other.attempt = names[0] if conn.server != names[0] else names[1], token
-        self.run.at(self.run.now, self.run.arrives, self, other, token)
-        super().write(conn, token, timeout)
+        self.simulation.schedule(self.simulation.now, self.simulation.deliver_first_line, self, other, token)
+        super().write_first_line(conn, token, timeout)
 
 
-class RefusesForFailures(Shell):
-    def answer(self, conn: Conn, line: str) -> None:
-        super().answer(conn, "BUSY" if line == "FAILED" else line)
+class RefusesForFailures(SimulatedBalancer):
+    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
+        super().send_answer(conn, "BUSY" if line == "FAILED" else line)
 
 
-class LosesLines(Shell):
-    def up_line(self, conn: Conn, number: int) -> Iterable[int]:
+class LosesLines(SimulatedBalancer):
+    def lines_to_server(self, conn: SimulatedConnection, number: int) -> Iterable[int]:
         return () if number == 3 else (number,)
 
 
-class RepeatsLines(Shell):
-    def down_line(self, conn: Conn, number: int) -> Iterable[int]:
+class RepeatsLines(SimulatedBalancer):
+    def lines_to_client(self, conn: SimulatedConnection, number: int) -> Iterable[int]:
         return (number, number) if number == 3 else (number,)
 
 
-class CutsOff(Shell):
+class CutsOff(SimulatedBalancer):
     """Ends connections without a word instead of moving them."""
 
-    def move(self, name: str, result: object = None) -> None:
-        conn = self.conns.get(name)
-        if conn is not None and conn.up:
-            self.run._reset(self, conn)
+    def move_client(self, name: str, result: object = None) -> None:
+        conn = self.connections.get(name)
+        if conn is not None and conn.is_up:
+            self.simulation._deliver_reset(self, conn)
 
 
 # Which mutant must be caught in which scenario of `small.py`, and what the break is called.
-MUTANTS: list[tuple[type[Shell], str, str]] = [
+MUTANTS: list[tuple[type[SimulatedBalancer], str, str]] = [
     (AnswersTwice, "calm", "answered twice"),
     (AnswersNever, "calm", "never answered"),
     (AnswersLate, "calm", "answered late"),
--- a/tests/lab/small.py
+++ b/tests/lab/small_scenarios.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from switchhub.lab.scenario import Scenario, parse
+from switchhub.lab.scenario import Scenario, parse_scenario
 
 
-def data(**changes: Any) -> dict[str, Any]:
+def scenario_data(**changes: Any) -> dict[str, Any]:
     told: dict[str, Any] = {
         "name": "small",
         "shows": "a small fleet for the tests",
@@ -22,38 +22,38 @@
     return told
 
 
-def trouble(kind: str, at: float, **more: Any) -> dict[str, Any]:
+def trouble_data(kind: str, at: float, **more: Any) -> dict[str, Any]:
     return {"name": f"{kind}-{at:g}", "kind": kind, "at_s": at, **more}
 
 
-SMALL: dict[str, dict[str, Any]] = {
-    "calm": data(),
-    "drain": data(troubles=[trouble("drain", 1.0, meets=["s-0"], drain_s=6.0)]),
-    "unasked": data(
+SMALL_SCENARIOS: dict[str, dict[str, Any]] = {
+    "calm": scenario_data(),
+    "drain": scenario_data(troubles=[trouble_data("drain", 1.0, meets=["s-0"], drain_s=6.0)]),
+    "unasked": scenario_data(
         seconds=14.0,
         discovery={"ask_within_s": 4.0},
         troubles=[
-            trouble("roster-out", 0.5, seconds=1.0),
-            trouble("drain", 2.0, meets=["s-0"], drain_s=12.0),
+            trouble_data("roster-out", 0.5, seconds=1.0),
+            trouble_data("drain", 2.0, meets=["s-0"], drain_s=12.0),
         ],
     ),
-    "cold": data(
+    "cold": scenario_data(
         seconds=16.0,
         clients={"load": 0.7},
         balancers={"count": 3},
         servers=[{"name": "s", "count": 8}],
-        troubles=[trouble("rolling", 1.0, stride_s=3.0, drain_s=1.0)],
+        troubles=[trouble_data("rolling", 1.0, stride_s=3.0, drain_s=1.0)],
     ),
-    "errors": data(
+    "errors": scenario_data(
         classes=[{"name": "pay", "repeat": "unsafe", "load": 20000.0, "life_s": 5.0}],
-        troubles=[trouble("errors", 1.0, value=0.5)],
+        troubles=[trouble_data("errors", 1.0, value=0.5)],
     ),
-    "keyed": data(
+    "keyed": scenario_data(
         classes=[{"name": "book", "repeat": "keyed", "scope": "cell", "load": 20000.0, "life_s": 5.0}],
-        troubles=[trouble("errors", 1.0, value=0.5)],
+        troubles=[trouble_data("errors", 1.0, value=0.5)],
     ),
 }
 
 
-def small(name: str, **changes: Any) -> Scenario:
-    return parse({**SMALL[name], **changes})
+def small_scenario(name: str, **changes: Any) -> Scenario:
+    return parse_scenario({**SMALL_SCENARIOS[name], **changes})
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_checker.py
@@ -4,54 +4,56 @@
 
 import pytest
 
-from switchhub.lab.judge import BREAKS, Judge
-from switchhub.lab.model import Run, Shell, maker
+from switchhub.lab.checker import VIOLATION_RULES, Checker
+from switchhub.lab.model import SimulatedBalancer, Simulation, decider_factory
 from tests.lab.mutants import MUTANTS
-from tests.lab.small import SMALL, small
+from tests.lab.small_scenarios import SMALL_SCENARIOS, small_scenario
 
 
 @pytest.mark.parametrize(
     ("mutant", "name", "called"), MUTANTS, ids=lambda each: getattr(each, "__name__", each)
 )
-def test_each_mutant_is_caught_by_name(mutant: type[Shell], name: str, called: str) -> None:
-    broken = Run(small(name), 1, maker("design"), shell=mutant).play().broken
+def test_each_mutant_is_caught_by_name(mutant: type[SimulatedBalancer], name: str, called: str) -> None:
+    broken = (
+        Simulation(small_scenario(name), 1, decider_factory("design"), balancer_type=mutant).run().violations
+    )
     assert [each.name for each in broken[:1]] == [called]
-    assert broken[0].rule == BREAKS[called]
-    assert broken[0].story, "both sides' story of the request"
+    assert broken[0].rule == VIOLATION_RULES[called]
+    assert broken[0].history, "both sides' story of the request"
 
 
-@pytest.mark.parametrize("name", SMALL)
+@pytest.mark.parametrize("name", SMALL_SCENARIOS)
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_sound_balancer_is_never_accused(name: str, seed: int) -> None:
-    played = Run(small(name), seed, maker("design")).play()
-    assert not played.broken
-    assert sum(each["served"] for each in played.tally.answers) > 10
+    played = Simulation(small_scenario(name), seed, decider_factory("design")).run()
+    assert not played.violations
+    assert sum(each["served"] for each in played.statistics.answer_counts) > 10
 
 
 def test_every_break_is_caught_in_some_mutant() -> None:
-    assert {called for _, _, called in MUTANTS} == set(BREAKS)
+    assert {called for _, _, called in MUTANTS} == set(VIOLATION_RULES)
 
 
-def judge(slack: float = 0.05) -> Judge:
-    scenario = small("errors")
+def checker(slack: float = 0.05) -> Checker:
+    scenario = small_scenario("errors")
     names = scenario.server_names()
-    return Judge(scenario, dict.fromkeys(names, 0), dict.fromkeys(names, 0), slack)
+    return Checker(scenario, dict.fromkeys(names, 0), dict.fromkeys(names, 0), slack)
 
 
 def test_an_answer_in_the_tick_of_the_deadline_is_in_time_and_one_past_the_slack_is_not() -> None:
     late = ["answered late"]
     for after, broken in ((0.0, []), (0.05, []), (0.0501, late), (2.5, ["never answered", *late])):
-        seen = judge()
+        seen = checker()
         seen.opened(1.0, "r", "b0", 0, 1.5)
         seen.answered(2.5 + after, "r", "FAILED")
         assert [each.name for each in seen.finish(9.0)] == broken
 
 
 def test_a_balancer_that_dies_owes_nothing_and_its_clients_retry_is_a_new_request() -> None:
-    seen = judge()
+    seen = checker()
     seen.opened(1.0, "r", "b0", 0, 1.5)
     seen.took(1.1, "s-0", "r")
-    seen.died(1.2, "b0")
+    seen.balancer_died(1.2, "b0")
     seen.ended(1.2, "r")
     seen.opened(1.3, "q", "b1", 0, 1.5)
     seen.took(1.4, "s-1", "q")
@@ -62,7 +64,7 @@
 
 def test_an_attempt_that_is_given_up_within_the_slack_is_not_a_second_at_once() -> None:
     for ended, broken in ((1.34, []), (1.36, ["two attempts at once"]), (None, ["two attempts at once"])):
-        seen = Judge(small("calm"), {}, {}, 0.05)
+        seen = Checker(small_scenario("calm"), {}, {}, 0.05)
         seen.opened(1.0, "r", "b0", 0, 1.5)
         seen.took(1.1, "s-0", "r")
         seen.took(1.3, "s-1", "r")
@@ -74,17 +76,17 @@
 
 
 def test_a_cold_server_that_falls_counts_against_those_that_knew() -> None:
-    scenario = small("cold")
+    scenario = small_scenario("cold")
     for told, broken in (((), []), (("b0", "b1", "b2"), ["cold server pushed over"]), (("b0",), [])):
-        seen = Judge(scenario, {}, {}, 0.0)
+        seen = Checker(scenario, {}, {}, 0.0)
         seen.server_started(5.0, "s-0")
         for name in told:
-            seen.told(5.2, name, "s-0", "Ready", 5.0)
+            seen.balancer_notified(5.2, name, "s-0", "Ready", 5.0)
         pushes = []
         for number in range(9):
             name = f"r{number}"
             seen.opened(5.5, name, f"b{number % 3}", 0, 1.5)
             pushes.append((5.5, name, 35.0 if number % 3 else 20.0))
-        seen.fell(5.6, "s-0", pushes, 255.0)
-        assert [each.name for each in seen.broken] == broken
-        assert seen.untold == (not broken)
+        seen.cold_server_fell(5.6, "s-0", pushes, 255.0)
+        assert [each.name for each in seen.violations] == broken
+        assert seen.crashes_without_notice == (not broken)
--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -13,13 +13,13 @@
 from switchhub.lab import hunt
 from switchhub.lab.cli import main
 from switchhub.lab.hunt import Found, draw, scenario_to_toml, shrink, smaller
-from switchhub.lab.scenario import parse
+from switchhub.lab.scenario import parse_scenario
 
 
 @pytest.mark.parametrize("number", range(60))
 def test_what_is_drawn_serves_and_reads_back(number: int) -> None:
     data = draw(Random(number), number)
-    assert parse(tomllib.loads(scenario_to_toml(data))) == parse(data)
+    assert parse_scenario(tomllib.loads(scenario_to_toml(data))) == parse_scenario(data)
 
 
 def test_shrinking_keeps_the_broken_rule_and_takes_the_rest_away() -> None:
@@ -27,7 +27,7 @@
     culprit = data["troubles"][2]["name"]
 
     def measured(told: dict[str, Any], seed: int) -> Found:
-        parse(told)
+        parse_scenario(told)
         bad = culprit in {each["name"] for each in told["troubles"]} and _count(told) >= 2
         return Found(10.0 if bad else 0.0, "cut off" if bad else "", told, seed)
 
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -17,16 +17,16 @@
 from switchhub.lab.cli import main
 from switchhub.lab.hunt import scenario_to_toml
 from switchhub.lab.live import runner
-from tests.lab.small import data, small, trouble
+from tests.lab.small_scenarios import scenario_data, small_scenario, trouble_data
 
 ROOT = Path(__file__).parent.parent.parent
 TROUBLES = [
-    trouble("hang", 1.0, seconds=3.0, meets=["s-0"]),
-    trouble("balancer-die", 1.5, seconds=1.0, meets=["b0"]),
-    trouble("die", 2.0, seconds=2.0, meets=["s-1"]),
-    trouble("roster-out", 2.5, seconds=1.0),
-    trouble("drop", 4.0, part=0.3),
-    trouble("balancer-reload", 4.5, meets=["b1"]),
+    trouble_data("hang", 1.0, seconds=3.0, meets=["s-0"]),
+    trouble_data("balancer-die", 1.5, seconds=1.0, meets=["b0"]),
+    trouble_data("die", 2.0, seconds=2.0, meets=["s-1"]),
+    trouble_data("roster-out", 2.5, seconds=1.0),
+    trouble_data("drop", 4.0, part=0.3),
+    trouble_data("balancer-reload", 4.5, meets=["b1"]),
 ]
 
 
@@ -48,7 +48,7 @@
 def test_a_sound_run_through_troubles_is_never_accused(tmp_path: Path, monkeypatch: Any) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     for _ in range(3):  # a run that this machine was too slow for says so and is not judged
-        found = runner.run_live(small("calm", troubles=TROUBLES), 1)
+        found = runner.run_live(small_scenario("calm", troubles=TROUBLES), 1)
         if "unfit" not in found:
             break
     assert "unfit" not in found
@@ -81,7 +81,7 @@
     assert text.count(sound) == 1
     session.write_text(text.replace(sound, mutant))
     found = runner.run_live(
-        small("calm", seconds=4.5), 1, tmp_path, ignore_lateness=True
+        small_scenario("calm", seconds=4.5), 1, tmp_path, ignore_lateness=True
     )  # time plays no part in these
     assert called in {each["name"] for each in found["broken"]}
     assert found["broken"][0]["story"]
@@ -89,11 +89,11 @@
 
 def test_what_does_not_fit_is_refused_before_anything_starts(tmp_path: Path, capsys: Any) -> None:
     file = tmp_path / "wide.toml"
-    file.write_text(scenario_to_toml(data(balancers={"count": 200})))
+    file.write_text(scenario_to_toml(scenario_data(balancers={"count": 200})))
     begin = time.monotonic()
     assert main(["run", str(file), "--engine", "live"]) == 2
     assert time.monotonic() - begin < 2.0
-    assert runner.unfit_reason(small("calm", balancers={"count": 1, "sockets": 64})) is not None
+    assert runner.unfit_reason(small_scenario("calm", balancers={"count": 1, "sockets": 64})) is not None
     assert main(["run", str(file), "--engine", "live", "--policy", "plain"]) == 2
 
 
@@ -137,7 +137,7 @@
     (package / "__main__.py").write_text("import sys; sys.exit(3)\n")
 
     async def started() -> runner.Runner:
-        one = runner.Runner(small("calm"), 1, tmp_path, tmp_path)
+        one = runner.Runner(small_scenario("calm"), 1, tmp_path, tmp_path)
         await one.start_balancer(0)
         await one.balancers[0].wait()
         await asyncio.sleep(0.05)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -12,10 +12,10 @@
 
 from switchhub.lab.baselines import POLICIES
 from switchhub.lab.report import compare_runs, format_comparison, format_table, summarize
+from switchhub.lab.run_statistics import dump_json
 from switchhub.lab.runs import Job, run_job, run_jobs
 from switchhub.lab.scenario import Scenario
-from switchhub.lab.tally import dump
-from tests.lab.small import small, trouble
+from tests.lab.small_scenarios import small_scenario, trouble_data
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -39,50 +39,50 @@
         )
         written.append(out.read_bytes())
     assert written[0] == written[1]
-    jobs = [Job(small("cold"), seed, policy) for seed in (1, 2) for policy in ("design", "oracle")]
-    assert [dump(each) for each in run_jobs(jobs, 1)] == [dump(each) for each in run_jobs(jobs, 3)]
+    jobs = [Job(small_scenario("cold"), seed, policy) for seed in (1, 2) for policy in ("design", "oracle")]
+    assert [dump_json(each) for each in run_jobs(jobs, 1)] == [dump_json(each) for each in run_jobs(jobs, 3)]
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_every_policy_serves_a_calm_day(policy: str) -> None:
-    assert service(small("calm"), policy) > 0.95
+    assert service(small_scenario("calm"), policy) > 0.95
 
 
 def test_overload_from_the_start_is_refused_in_part_and_the_rest_served() -> None:
-    heavy = small("calm", clients={"load": 2.0, "retries": 1, "standing": 0.4}, seconds=15.0)
+    heavy = small_scenario("calm", clients={"load": 2.0, "retries": 1, "standing": 0.4}, seconds=15.0)
     assert 0.3 < service(heavy) < 0.8
     assert service(heavy, "plain") < service(heavy) < service(heavy, "oracle") + 0.05
 
 
 def test_hung_servers_cost_a_second_not_the_run() -> None:
-    hung = small("calm", troubles=[trouble("hang", 2.0, meets=["s-0"])])
+    hung = small_scenario("calm", troubles=[trouble_data("hang", 2.0, meets=["s-0"])])
     assert service(hung, "random") < service(hung) - 0.01
     assert service(hung) > 0.9
 
 
 def test_everything_dead_serves_nobody_and_breaks_no_rule() -> None:
-    dead = small("calm", troubles=[trouble("die", 0.0)])
+    dead = small_scenario("calm", troubles=[trouble_data("die", 0.0)])
     assert service(dead) == 0.0
 
 
 def test_a_server_that_falls_stays_down() -> None:
-    found = run_job(Job(small("cold"), 1, "plain"))
+    found = run_job(Job(small_scenario("cold"), 1, "plain"))
     assert found["counts"]["servers.fallen"] == len(found["broken"]) > 0
 
 
 def test_balancers_die_and_return_and_all_is_served_again() -> None:
     troubles = [
-        trouble("balancer-die", 1.0, seconds=1.5, meets=["b0"]),
-        trouble("balancer-restart", 4.0, meets=["b1"]),
+        trouble_data("balancer-die", 1.0, seconds=1.5, meets=["b0"]),
+        trouble_data("balancer-restart", 4.0, meets=["b1"]),
     ]
-    found = run_job(Job(small("calm", troubles=troubles, seconds=14.0), 1))
+    found = run_job(Job(small_scenario("calm", troubles=troubles, seconds=14.0), 1))
     assert not found["broken"]
     assert found["counts"]["clients.broken"] > 5 and found["counts"]["clients.moved"] > 5
     assert min(each for each in found["series"]["service"][-7:-1] if each is not None) > 0.95
 
 
 def test_a_comparison_says_what_is_shown_and_what_is_not() -> None:
-    hung = small("calm", troubles=[trouble("hang", 2.0, meets=["s-0"])])
+    hung = small_scenario("calm", troubles=[trouble_data("hang", 2.0, meets=["s-0"])])
     left = run_jobs([Job(hung, seed, "random") for seed in range(4)], 1)
     right = run_jobs([Job(hung, seed, "design") for seed in range(4)], 1)
     found = compare_runs("random", "design", left, right)
@@ -96,8 +96,8 @@
 
 
 def test_another_checkout_decides_as_this_one_where_it_is_the_same() -> None:
-    ours = run_job(Job(small("cold"), 3))
-    theirs = run_job(Job(small("cold"), 3, other_checkout=ROOT))
+    ours = run_job(Job(small_scenario("cold"), 3))
+    theirs = run_job(Job(small_scenario("cold"), 3, other_checkout=ROOT))
     assert {**theirs, "policy": "design"} == ours
 
 
@@ -113,7 +113,7 @@
 
 def test_drains_told_while_first_lines_are_under_way_are_kept() -> None:
     far = {"within_ms": 120.0, "between_ms": 120.0}
-    rolling = [trouble("rolling", 1.0, stride_s=2.5, drain_s=3.0, down_s=1.0)]
-    found = run_job(Job(small("cold", network=far, troubles=rolling), 1))
+    rolling = [trouble_data("rolling", 1.0, stride_s=2.5, drain_s=3.0, down_s=1.0)]
+    found = run_job(Job(small_scenario("cold", network=far, troubles=rolling), 1))
     assert not found["broken"]
     assert found["counts"]["attempt.not_sent"] > 0 and found["counts"]["attempt.full"] > 0
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from switchhub.lab.cli import SCENARIO_DIRECTORY, main
-from switchhub.lab.scenario import ScenarioError, parse, read
-from switchhub.lab.stand_in import StandIn, Verdict, places
-from switchhub.lab.timeline import FOREVER, Timeline, dead_spans, expand, heard
-from tests.lab.small import data, small, trouble
+from switchhub.lab.fake_server import FakeServer, SetupReply, server_specs
+from switchhub.lab.scenario import ScenarioError, parse_scenario, read_scenario
+from switchhub.lab.timeline import FOREVER, Timeline, discovery_updates, downtimes, expand_troubles
+from tests.lab.small_scenarios import scenario_data, small_scenario, trouble_data
 
 
 @pytest.mark.parametrize(
@@ -30,17 +30,17 @@
         ({"servers": [{"name": "s", "count": 2}, {"name": "s", "count": 1}]}, "servers.1.name"),
         ({"servers": [{"name": "s", "count": 2, "zone": "x"}]}, "servers.0.zone"),
         ({"classes": [{"name": "c", "deadline_s": 2}]}, "classes.0.deadline_s"),
-        ({"troubles": [trouble("die", 1.0, meets=["t-*"])]}, "troubles.0.meets"),
-        ({"troubles": [trouble("die", 99.0)]}, "troubles.0.at_s"),
-        ({"troubles": [trouble("explode", 1.0)]}, "troubles.0.kind"),
-        ({"troubles": [trouble("errors", 1.0, value=2.0)]}, "troubles.0.value"),
+        ({"troubles": [trouble_data("die", 1.0, meets=["t-*"])]}, "troubles.0.meets"),
+        ({"troubles": [trouble_data("die", 99.0)]}, "troubles.0.at_s"),
+        ({"troubles": [trouble_data("explode", 1.0)]}, "troubles.0.kind"),
+        ({"troubles": [trouble_data("errors", 1.0, value=2.0)]}, "troubles.0.value"),
     ],
 )
 def test_each_fault_is_a_line_with_its_path(changes: dict[str, Any], path: str) -> None:
     with pytest.raises(ScenarioError) as found:
-        parse(data(**changes))
-    assert any(fault.startswith(f"{path}: ") for fault in found.value.faults), found.value.faults
-    assert all("\n" not in fault for fault in found.value.faults)
+        parse_scenario(scenario_data(**changes))
+    assert any(fault.startswith(f"{path}: ") for fault in found.value.problems), found.value.problems
+    assert all("\n" not in fault for fault in found.value.problems)
 
 
 def test_all_faults_of_all_files_are_told_at_once_with_status_2(tmp_path: Path, capsys: Any) -> None:
@@ -54,16 +54,21 @@
 
 
 def test_the_shelf_serves_and_each_says_what_it_shows() -> None:
-    found = [read(path) for path in sorted(SCENARIO_DIRECTORY.glob("*.toml"))]
+    found = [read_scenario(path) for path in sorted(SCENARIO_DIRECTORY.glob("*.toml"))]
     assert len(found) >= 16
     assert len({each.shows for each in found}) == len(found)
 
 
 def test_overlapping_troubles_on_one_server_end_in_any_order() -> None:
-    scenario = small("calm", troubles=[trouble("die", 1.0, seconds=5.0), trouble("die", 2.0, seconds=1.0)])
-    timeline = expand(scenario, 1)
-    assert dead_spans(timeline, "s-0") == [(1.0, 6.0)]
-    assert [each.state for each in heard(scenario, timeline) if each.server == "s-0"] == ["Gone", "Ready"]
+    scenario = small_scenario(
+        "calm", troubles=[trouble_data("die", 1.0, seconds=5.0), trouble_data("die", 2.0, seconds=1.0)]
+    )
+    timeline = expand_troubles(scenario, 1)
+    assert downtimes(timeline, "s-0") == [(1.0, 6.0)]
+    assert [each.state for each in discovery_updates(scenario, timeline) if each.server == "s-0"] == [
+        "Gone",
+        "Ready",
+    ]
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -83,19 +88,19 @@
         {"name": f"t{number}", "kind": kind, "at_s": at, "seconds": length, "value": 1.0}
         for number, (kind, at, length) in enumerate(drawn)
     ]
-    scenario = small("calm", troubles=troubles)
-    server = StandIn(scenario, places(scenario)[0], 1)
-    for change in expand(scenario, 1).changes:
+    scenario = small_scenario("calm", troubles=troubles)
+    server = FakeServer(scenario, server_specs(scenario)[0], 1)
+    for change in expand_troubles(scenario, 1).changes:
         if change.interval.target == server.name:
-            server.change(change.at, change.begins, change.interval)
-    assert not (server.dead or server.hangs or server.full or server.drains)
-    assert server.rate(1e6) == 1_000_000.0
-    assert server.offer(1e6, "c", 100.0)[0] is Verdict.UP
+            server.apply_change(change.at, change.begins, change.interval)
+    assert not (server.dead or server.hanging or server.full or server.draining)
+    assert server.work_rate(1e6) == 1_000_000.0
+    assert server.receive_first_line(1e6, "c", 100.0)[0] is SetupReply.UP
 
 
 def test_a_trouble_may_meet_nobody_or_all() -> None:
     for part, count in ((0.0, 0), (1.0, 4)):
-        timeline = expand(small("calm", troubles=[trouble("hang", 1.0, part=part)]), 1)
+        timeline = expand_troubles(small_scenario("calm", troubles=[trouble_data("hang", 1.0, part=part)]), 1)
         assert len(timeline.intervals) == count
         assert all(each.end == FOREVER for each in timeline.intervals)
-    assert Timeline([], 1.0).surge(0.5) == 1.0
+    assert Timeline([], 1.0).arrival_factor(0.5) == 1.0
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -818,7 +818,7 @@
     simulation.kill("c1" if simulation.holder == "c0" else "c0")
     simulation.history.clear()
     while simulation.now < 100.0:
-        simulation.run(simulation.now + 0.01)
+        simulation.run_until(simulation.now + 0.01)
         simulation.look()
     assert not [entry for entry in simulation.history if entry.kind == "lost"]
 
@@ -826,10 +826,10 @@
 def test_a_thousand_leases_of_a_dead_holder_are_acquired_by_the_next_holder() -> None:
     simulation = Electorate(3, 1, 1.0, names=1000)
     simulation.until_held(LIMIT)
-    simulation.run(simulation.now + 4.0)
+    simulation.run_until(simulation.now + 4.0)
     other = "c1" if simulation.holder == "c0" else "c0"
     simulation.kill(simulation.holder)
     killed_at = simulation.now
-    simulation.run(killed_at + 3.0)
-    proposer, now = simulation.all[other].proposer, simulation.clock(other)
+    simulation.run_until(killed_at + 3.0)
+    proposer, now = simulation.nodes[other].proposer, simulation.local_time(other)
     assert sum(proposer.held_token(name, now) is not None for name in simulation.names) == 1000
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -10,7 +10,7 @@
 
 from switchhub.lab.faults.stage import SLACK, WAIT, PlanError
 from switchhub.lab.faults.upgrades import AT_HAND, Record, Stage, play, play_all
-from switchhub.lab.scenario import Cold
+from switchhub.lab.scenario import ColdStart
 
 START_BOTH = "start a; ready a; 200; start b; ready b; 200; "
 PLANS = {
@@ -96,4 +96,4 @@
 
     records = asyncio.run(run_three())
     assert not [record.faults() for record in records if record.faults()]
-    assert median(record.over_budget(Cold()) for record in records) < 4.3
+    assert median(record.over_budget(ColdStart()) for record in records) < 4.3
