--- a/switchhub/lab/balancer_settings.py
+++ b/switchhub/lab/balancer_settings.py
@@ -13,7 +13,7 @@
 from switchhub.net.config import flatten
 from switchhub.wirehost.settings import read_settings
 
-_REPEATS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
+_REPEAT_SETTINGS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 
 
 def balancer_zone(scenario: Scenario, balancer: int) -> int:
@@ -36,7 +36,7 @@
         "Classes": [
             {
                 "Name": each.name,
-                "Repeat": _REPEATS[each.repeat],
+                "Repeat": _REPEAT_SETTINGS[each.repeat],
                 "KeyScope": each.scope,
                 "KeyTtl": each.window_ms,
                 "Deadline": each.deadline_ms,
--- a/switchhub/lab/baselines.py
+++ b/switchhub/lab/baselines.py
@@ -40,13 +40,13 @@
 )
 from switchhub.lab.fake_server import FakeServer
 
-NEVER_RAN = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})
-ASK_PART = 1 / 8  # of the time allowed, after which a lost list is asked for again
-BUSIEST, MARGIN = (
+NOT_RUN_RESULTS = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})
+WATCH_RETRY_FRACTION = 1 / 8  # of the time allowed, after which a lost list is asked for again
+UTILISATION_MAX, COLD_SETUP_MARGIN = (
     0.97,
     2.0,
 )  # utilisation beyond which the oracle refuses; its care with hints at cold servers
-LOOK_EVERY = 250.0  # milliseconds between two looks of the oracle at what stands badly
+RELIEF_INTERVAL_MS = 250.0  # milliseconds between two looks of the oracle at what stands badly
 
 
 class Decider(Protocol):
@@ -68,20 +68,20 @@
     servers: dict[str, FakeServer]
     reserved_loads: dict[str, float]
 
-    def can_reach(self, balancer: int, server: str) -> bool:
+    def can_reach(self, balancer_index: int, server: str) -> bool:
         """Whether the network carries anything between them now."""
 
 
-class _Held:
-    __slots__ = ("attempts", "first", "load", "request", "server", "tried", "until", "up")
+class _TrackedRequest:
+    __slots__ = ("attempts", "deadline", "first_possible_run", "is_up", "load", "request", "server", "tried")
 
-    def __init__(self, request: Request, load: float, until: float) -> None:
-        self.request, self.load, self.until = request, load, until
+    def __init__(self, request: Request, load: float, deadline: float) -> None:
+        self.request, self.load, self.deadline = request, load, deadline
         self.attempts = 0
         self.tried: set[str] = set()
         self.server = ""
-        self.up = False
-        self.first: tuple[Server, float] | None = None  # the first attempt that may have run
+        self.is_up = False
+        self.first_possible_run: tuple[Server, float] | None = None  # the first attempt that may have run
 
 
 class BaselinePolicy:
@@ -90,12 +90,12 @@
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.settings, self.rng, self.now = settings, Random(seed), now
         self.servers: dict[str, Server] = {}
-        self.ready: list[str] = []
-        self.sums: dict[str, float] = {}
-        self.counts: dict[str, int] = {}
-        self._held: dict[str, _Held] = {}
-        self._moves: list[str] = []
-        self._ask_at: float | None = now
+        self.ready_servers: list[str] = []
+        self.load_sums: dict[str, float] = {}
+        self.connection_counts: dict[str, int] = {}
+        self._tracked: dict[str, _TrackedRequest] = {}
+        self._pending_moves: list[str] = []
+        self._watch_due_at: float | None = now
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
         """One of the lawful servers, which are never none; empty: refuse, where that is harmless."""
@@ -104,107 +104,111 @@
     def pick(self, now: float, request: Request) -> Pick:
         """Where a request goes, or its final answer."""
         self.now = now
-        held = self._held.get(request.id)
-        if held is None:
-            held = self._held[request.id] = _Held(request, request.hint or 0.0, now + request.budget)
-        names = self._lawful(now, held)
-        chosen = self.choose(request, held.load, names) if names else ""
-        harmless = self._harmless(held)
-        if not chosen and names and not harmless:
+        tracked = self._tracked.get(request.id)
+        if tracked is None:
+            tracked = self._tracked[request.id] = _TrackedRequest(
+                request, request.hint or 0.0, now + request.budget
+            )
+        names = self._allowed_servers(now, tracked)
+        chosen = self.choose(request, tracked.load, names) if names else ""
+        refusal_is_safe = self._refusal_is_safe(tracked)
+        if not chosen and names and not refusal_is_safe:
             chosen = names[0]
         if not chosen:
-            del self._held[request.id]
-            return Refused(self.settings.retry_after_max) if harmless else Failed()
-        left = self.settings.max_attempts - held.attempts
-        held.attempts += 1
-        held.tried.add(chosen)
-        self._hold(held, chosen)
-        return Send(chosen, (held.until - now) / left)
+            del self._tracked[request.id]
+            return Refused(self.settings.retry_after_max) if refusal_is_safe else Failed()
+        attempts_left = self.settings.max_attempts - tracked.attempts
+        tracked.attempts += 1
+        tracked.tried.add(chosen)
+        self._track(tracked, chosen)
+        return Send(chosen, (tracked.deadline - now) / attempts_left)
 
     def report(self, now: float, observation: Observation) -> None:
         """Tell what was seen."""
         self.now = now
         if isinstance(observation, ServerList):
-            self._on_roster(observation)
+            self._on_server_list(observation)
         elif isinstance(observation, ServerListLost):
-            self._ask_at = now + self.settings.watch_retry_within * ASK_PART
+            self._watch_due_at = now + self.settings.watch_retry_within * WATCH_RETRY_FRACTION
         elif isinstance(observation, Adopted):
-            held = self._held[observation.request.id] = _Held(
+            tracked = self._tracked[observation.request.id] = _TrackedRequest(
                 observation.request, observation.request.hint or 0.0, 0.0
             )
-            held.up = True
-            self._hold(held, observation.server)
+            tracked.is_up = True
+            self._track(tracked, observation.server)
         elif isinstance(observation, Up):
-            held = self._held[observation.request]
-            held.up = True
-            if self._state(held.server) is ServerState.DRAINING:
-                self._moves.append(observation.request)
+            tracked = self._tracked[observation.request]
+            tracked.is_up = True
+            if self._server_state(tracked.server) is ServerState.DRAINING:
+                self._pending_moves.append(observation.request)
         elif isinstance(observation, Ended):
             self._on_ended(now, observation)
         elif isinstance(observation, Left):
-            self._held[observation.request].until = 0.0
+            self._tracked[observation.request].deadline = 0.0
 
     def tick(self, now: float) -> PendingActions:
         """What is to be done."""
-        watch = self._ask_at is not None and self._ask_at <= now
+        watch = self._watch_due_at is not None and self._watch_due_at <= now
         if watch:
-            self._ask_at = None
-        moves, self._moves = self._moves, []
+            self._watch_due_at = None
+        moves, self._pending_moves = self._pending_moves, []
         return PendingActions(moves, watch, [])
 
-    def _on_ended(self, now: float, news: Ended) -> None:
-        held = self._held[news.request]
-        self.sums[held.server] -= held.load
-        self.counts[held.server] -= 1
-        if news.closed or held.up:
-            del self._held[news.request]
-        elif held.first is None and news.result not in NEVER_RAN:
-            held.first = (self.servers[held.server], now - news.elapsed)
-
-    def _on_roster(self, news: ServerList) -> None:
-        if news.kind is ServerListKind.WHOLE:
-            named = {each.id for each in news.servers}
-            for name in self.servers.keys() - named:
+    def _on_ended(self, now: float, observation: Ended) -> None:
+        tracked = self._tracked[observation.request]
+        self.load_sums[tracked.server] -= tracked.load
+        self.connection_counts[tracked.server] -= 1
+        if observation.closed or tracked.is_up:
+            del self._tracked[observation.request]
+        elif tracked.first_possible_run is None and observation.result not in NOT_RUN_RESULTS:
+            tracked.first_possible_run = (self.servers[tracked.server], now - observation.elapsed)
+
+    def _on_server_list(self, observation: ServerList) -> None:
+        if observation.kind is ServerListKind.WHOLE:
+            listed = {each.id for each in observation.servers}
+            for name in self.servers.keys() - listed:
                 self.servers[name] = self.servers[name]._replace(state=ServerState.GONE)
-        for each in news.servers:
+        for each in observation.servers:
             self.servers[each.id] = each
-            self.sums.setdefault(each.id, 0.0)
-            self.counts.setdefault(each.id, 0)
-        self.ready = [name for name, each in self.servers.items() if each.state is ServerState.READY]
-        leaving = {each.id for each in news.servers if each.state is ServerState.DRAINING}
-        if leaving:
-            self._moves += [name for name, each in self._held.items() if each.up and each.server in leaving]
-
-    def _state(self, server: str) -> ServerState:
+            self.load_sums.setdefault(each.id, 0.0)
+            self.connection_counts.setdefault(each.id, 0)
+        self.ready_servers = [name for name, each in self.servers.items() if each.state is ServerState.READY]
+        draining = {each.id for each in observation.servers if each.state is ServerState.DRAINING}
+        if draining:
+            self._pending_moves += [
+                name for name, each in self._tracked.items() if each.is_up and each.server in draining
+            ]
+
+    def _server_state(self, server: str) -> ServerState:
         return self.servers[server].state if server in self.servers else ServerState.GONE
 
-    def _hold(self, held: _Held, server: str) -> None:
-        held.server = server
-        self.sums[server] = self.sums.get(server, 0.0) + held.load
-        self.counts[server] = self.counts.get(server, 0) + 1
+    def _track(self, tracked: _TrackedRequest, server: str) -> None:
+        tracked.server = server
+        self.load_sums[server] = self.load_sums.get(server, 0.0) + tracked.load
+        self.connection_counts[server] = self.connection_counts.get(server, 0) + 1
 
-    def _harmless(self, held: _Held) -> bool:
-        kind = self.settings.classes[held.request.class_index]
+    def _refusal_is_safe(self, tracked: _TrackedRequest) -> bool:
+        request_class = self.settings.classes[tracked.request.class_index]
         return (
-            held.first is None
-            or kind.repeat is Repeat.SAFE
-            or (kind.repeat is Repeat.KEYED and kind.scope is KeyScope.ALL)
+            tracked.first_possible_run is None
+            or request_class.repeat is Repeat.SAFE
+            or (request_class.repeat is Repeat.KEYED and request_class.scope is KeyScope.ALL)
         )
 
-    def _lawful(self, now: float, held: _Held) -> list[str]:
-        if held.attempts >= self.settings.max_attempts or now >= held.until:
+    def _allowed_servers(self, now: float, tracked: _TrackedRequest) -> list[str]:
+        if tracked.attempts >= self.settings.max_attempts or now >= tracked.deadline:
             return []
-        names = self.ready
-        kind = self.settings.classes[held.request.class_index]
-        if held.first is not None and kind.repeat is not Repeat.SAFE:
-            where, sent = held.first
-            if kind.repeat is Repeat.UNSAFE or now - sent >= kind.window:
+        names = self.ready_servers
+        request_class = self.settings.classes[tracked.request.class_index]
+        if tracked.first_possible_run is not None and request_class.repeat is not Repeat.SAFE:
+            first_server, first_sent_at = tracked.first_possible_run
+            if request_class.repeat is Repeat.UNSAFE or now - first_sent_at >= request_class.window:
                 return []
-            if kind.scope is KeyScope.ZONE:
-                names = [each for each in names if self.servers[each].zone == where.zone]
-            elif kind.scope is KeyScope.CELL:
-                names = [each for each in names if self.servers[each].cell == where.cell]
-        return [each for each in names if each not in held.tried] or names
+            if request_class.scope is KeyScope.ZONE:
+                names = [each for each in names if self.servers[each].zone == first_server.zone]
+            elif request_class.scope is KeyScope.CELL:
+                names = [each for each in names if self.servers[each].cell == first_server.cell]
+        return [each for each in names if each not in tracked.tried] or names
 
 
 class RoundRobin(BaselinePolicy):
@@ -212,12 +216,12 @@
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self._turn = self.rng.randrange(1 << 20)
+        self._position = self.rng.randrange(1 << 20)
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
         """One of the lawful servers."""
-        self._turn += 1
-        return names[self._turn % len(names)]
+        self._position += 1
+        return names[self._position % len(names)]
 
 
 class LeastConnections(BaselinePolicy):
@@ -225,8 +229,8 @@
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
         """One of the lawful servers."""
-        least = min(self.counts[each] for each in names)
-        return self.rng.choice([each for each in names if self.counts[each] == least])
+        least = min(self.connection_counts[each] for each in names)
+        return self.rng.choice([each for each in names if self.connection_counts[each] == least])
 
 
 class TwoChoices(BaselinePolicy):
@@ -235,7 +239,7 @@
     def choose(self, request: Request, load: float, names: list[str]) -> str:
         """One of the lawful servers."""
         first, second = self.rng.choice(names), self.rng.choice(names)
-        return min(first, second, key=self.sums.__getitem__)
+        return min(first, second, key=self.load_sums.__getitem__)
 
 
 class LeastSum(BaselinePolicy):
@@ -243,8 +247,8 @@
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
         """One of the lawful servers."""
-        least = min(self.sums[each] for each in names)
-        return self.rng.choice([each for each in names if self.sums[each] == least])
+        least = min(self.load_sums[each] for each in names)
+        return self.rng.choice([each for each in names if self.load_sums[each] == least])
 
 
 class Oracle(BaselinePolicy):
@@ -252,29 +256,31 @@
     and moves what stands where it is served badly. All oracles of a run share what they are about to send."""
 
     def __init__(
-        self, settings: Settings, seed: int, now: float, truth: SimulationState, balancer: int
+        self, settings: Settings, seed: int, now: float, simulation: SimulationState, balancer_index: int
     ) -> None:
         super().__init__(settings, seed, now)
-        self._truth, self._index = truth, balancer
-        self._looked = now
+        self._simulation, self._balancer_index = simulation, balancer_index
+        self._relieved_at = now
         self._reserved: dict[str, tuple[str, float]] = {}
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
         """The one that is the least used after it, of those that answer."""
-        best, least = "", BUSIEST
+        best, lowest = "", UTILISATION_MAX
         for name in names:
-            server = self._truth.servers[name]
-            if server.full or not self._sound(name):
+            server = self._simulation.servers[name]
+            if server.full or not self._is_serving(name):
                 continue
-            ahead = load + self._truth.reserved_loads[name]
-            if not server.fits_setup_budget(server.updated_at, ahead * MARGIN):
+            added_load = load + self._simulation.reserved_loads[name]
+            if not server.fits_setup_budget(server.updated_at, added_load * COLD_SETUP_MARGIN):
                 continue
-            used = server.utilisation(server.updated_at) + ahead / server.work_rate(server.updated_at)
-            if used < least:
-                best, least = name, used
+            utilisation = server.utilisation(server.updated_at) + added_load / server.work_rate(
+                server.updated_at
+            )
+            if utilisation < lowest:
+                best, lowest = name, utilisation
         if best:
             self._reserved[request.id] = (best, load)
-            self._truth.reserved_loads[best] += load
+            self._simulation.reserved_loads[best] += load
         return best
 
     def report(self, now: float, observation: Observation) -> None:
@@ -282,37 +288,38 @@
         if isinstance(observation, (Up, Ended)):
             name, load = self._reserved.pop(observation.request, ("", 0.0))
             if name:
-                self._truth.reserved_loads[name] -= load
+                self._simulation.reserved_loads[name] -= load
         super().report(now, observation)
 
     def tick(self, now: float) -> PendingActions:
         """What is to be done: also what is to be moved."""
-        if now - self._looked >= LOOK_EVERY:
-            self._looked = now
-            self._relieve()
+        if now - self._relieved_at >= RELIEF_INTERVAL_MS:
+            self._relieved_at = now
+            self._move_from_overloaded()
         return super().tick(now)
 
-    def _sound(self, name: str) -> bool:
-        server = self._truth.servers[name]
-        return not (server.dead or server.hanging) and self._truth.can_reach(self._index, name)
+    def _is_serving(self, name: str) -> bool:
+        server = self._simulation.servers[name]
+        return not (server.dead or server.hanging) and self._simulation.can_reach(self._balancer_index, name)
 
-    def _relieve(self) -> None:
-        spare = {
-            name: BUSIEST * each.work_rate(each.updated_at) * each.speed_fraction(each.updated_at) - each.load
-            for name, each in self._truth.servers.items()
-            if self._sound(name) and not each.draining
+    def _move_from_overloaded(self) -> None:
+        spare_rates = {
+            name: UTILISATION_MAX * each.work_rate(each.updated_at) * each.speed_fraction(each.updated_at)
+            - each.load
+            for name, each in self._simulation.servers.items()
+            if self._is_serving(name) and not each.draining
         }
-        room = sum(each for each in spare.values() if each > 0)
-        over = {name: -each for name, each in spare.items() if each < 0}
-        for request, held in self._held.items():
-            if not held.up:
+        spare_total = sum(each for each in spare_rates.values() if each > 0)
+        excess_rates = {name: -each for name, each in spare_rates.items() if each < 0}
+        for request, tracked in self._tracked.items():
+            if not tracked.is_up:
                 continue
-            if not self._sound(held.server):
-                self._moves.append(request)
-            elif over.get(held.server, 0.0) > 0 and room > held.load:
-                over[held.server] -= held.load
-                room -= held.load
-                self._moves.append(request)
+            if not self._is_serving(tracked.server):
+                self._pending_moves.append(request)
+            elif excess_rates.get(tracked.server, 0.0) > 0 and spare_total > tracked.load:
+                excess_rates[tracked.server] -= tracked.load
+                spare_total -= tracked.load
+                self._pending_moves.append(request)
 
 
 def create_design(settings: Settings, seed: int, now: float) -> Decider:
--- a/switchhub/lab/live/clients.py
+++ b/switchhub/lab/live/clients.py
@@ -51,11 +51,13 @@
             values.append("r=1")
         if self.server:
             values.append(f"at={self.server}")
-            self.host.record("adopted", self.name, f"b{client.balancer}", client.class_index, self.server)
+            self.host.record(
+                "adopted", self.name, f"b{client.balancer_index}", client.class_index, self.server
+            )
         else:
             self.opened = self.host.now()
             self.host.record(
-                "opened", self.name, f"b{client.balancer}", client.class_index, kind.deadline_ms / 1000
+                "opened", self.name, f"b{client.balancer_index}", client.class_index, kind.deadline_ms / 1000
             )
         transport.write(f"OPEN {self.name} {client.flow_key} {','.join(values)}\r\n".encode())
 
@@ -152,7 +154,7 @@
                 await self._answers(index)
         names = [each.name for each in server_specs(self.scenario)]
         for number, client in enumerate(self._first):
-            client.balancer = client.index % self.scenario.balancers.count
+            client.balancer_index = client.index % self.scenario.balancers.count
             self.task(self._connect(client, names[number % len(names)]))
             if number % AT_ONCE == 0:
                 await self._settled(number - AT_ONCE)
@@ -239,8 +241,8 @@
     def _open(self, client: Client) -> None:
         if self.now() >= min(client.leaves_at, self.scenario.seconds):
             return
-        client.balancer = self.front.next_balancer()
-        if client.balancer < 0:
+        client.balancer_index = self.front.next_balancer()
+        if client.balancer_index < 0:
             self.record("event", "clients.no_balancer")
             self.at(self.now() + self._patience.delay_after_disconnect(client), self._open, client)
             return
@@ -257,7 +259,7 @@
         try:
             async with asyncio.timeout(wait):
                 await asyncio.get_running_loop().create_connection(
-                    lambda: link, self.plan.host, self.plan.balancers[client.balancer]
+                    lambda: link, self.plan.host, self.plan.balancers[client.balancer_index]
                 )
         except (OSError, TimeoutError):
             link.over = True
--- a/switchhub/lab/model.py
+++ b/switchhub/lab/model.py
@@ -42,19 +42,23 @@
 )
 from switchhub.net.session import ANSWER_MARGIN_MS, SILENCE_TIMEOUT_MS, SILENT_SERVER_TIMEOUT_MS
 
-EPOCH = 1_000_000.0  # milliseconds on the facade's clock when a run starts
-TICK, CHECK, SLOT = (
+EPOCH_MS = 1_000_000.0  # milliseconds on the facade's clock when a run starts
+TICK_INTERVAL_S, SILENCE_CHECK_INTERVAL_S, MESSAGE_SLOT_S = (
     0.02,
     0.1,
     0.05,
 )  # seconds between looks at chores, at silence, and of messages sent together
 IMMEDIATE_ANSWER_MAX_S = 0.05  # seconds within which an answer is played at once instead of at its time
-LONG = 0.2  # seconds from which a line that waits is looked at for silence
-KILL_SPARE = 0.7  # seconds past the longest deadline at which a stopping balancer is killed
+WATCHED_DELAY_MIN_S = 0.2  # seconds from which a line that waits is looked at for silence
+KILL_MARGIN_S = 0.7  # seconds past the longest deadline at which a stopping balancer is killed
 STOP_DISPATCH_DELAY_S = 0.3  # seconds in which new connections still reach a balancer that stops
-ASK_FAILS, ASK_SILENT, WATCH_SILENT = 0.005, 1.5, 11.5  # seconds until a call to discovery counts as failed
-STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
-SEEDS = 1 << 62
+REFUSED_CALL_S, CALL_TIMEOUT_S, WATCH_TIMEOUT_S = (
+    0.005,
+    1.5,
+    11.5,
+)  # seconds until a call to discovery counts as failed
+SERVER_STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+SEED_RANGE = 1 << 62
 
 DeciderFactory = Callable[[Settings, int, float, "Simulation", int], Decider]
 
@@ -76,8 +80,8 @@
         "unanswered_lines",
     )
 
-    def __init__(self, name: str, client: Client, request: Request) -> None:
-        self.id, self.client, self.request = name, client, request
+    def __init__(self, connection_id: str, client: Client, request: Request) -> None:
+        self.id, self.client, self.request = connection_id, client, request
         self.server = ""
         self.attempt = 0  # counts up; events of an older one are passed over
         self.attempt_started_at = self.established_at = self.answer_due_at = (
@@ -102,16 +106,16 @@
         self.awaiting_answers: dict[str, SimulatedConnection] = {}
         self.watching = False
         self.alive, self.stopping = True, False
-        self._dial = simulation.scenario.balancers.dial_ms / 1000
-        self._checked = 0.0
+        self._dial_timeout_s = simulation.scenario.balancers.dial_ms / 1000
+        self._silence_checked_at = 0.0
 
     # A request.
 
-    def accept_request(self, client: Client, name: str, wait_s: float) -> None:
+    def accept_request(self, client: Client, connection_id: str, wait_s: float) -> None:
         """A first line has come."""
         budget = wait_s * 1000 - ANSWER_MARGIN_MS
         request = Request(
-            name,
+            connection_id,
             client.class_index,
             budget,
             client.tenant,
@@ -120,159 +124,183 @@
             client.group,
             client.returning,
         )
-        conn = self.connections[name] = SimulatedConnection(name, client, request)
-        self.place_connection(conn)
+        connection = self.connections[connection_id] = SimulatedConnection(connection_id, client, request)
+        self.place_connection(connection)
 
-    def place_connection(self, conn: SimulatedConnection) -> None:
+    def place_connection(self, connection: SimulatedConnection) -> None:
         """Ask where it goes, and send it there or answer it."""
-        run = self.simulation
-        pick = self.decider.pick(run.now_ms, conn.request)
+        simulation = self.simulation
+        pick = self.decider.pick(simulation.now_ms, connection.request)
         if not isinstance(pick, Send):
             line = "FAILED"
             if isinstance(pick, Refused):
                 line = f"BUSY {pick.retry_after:.0f}" if pick.retry_after else "BUSY"
-            self.remove_connection(conn)
-            return self.send_answer(conn, line)
-        self.start_attempt(conn, pick.server, pick.timeout / 1000)
+            self.remove_connection(connection)
+            return self.send_answer(connection, line)
+        self.start_attempt(connection, pick.server, pick.timeout / 1000)
 
-    def start_attempt(self, conn: SimulatedConnection, server: str, timeout: float) -> None:
+    def start_attempt(self, connection: SimulatedConnection, server: str, timeout_s: float) -> None:
         """Connect, then write the line."""
-        run = self.simulation
-        conn.attempt += 1
-        conn.attempt_started_at, conn.server = run.now, server
-        way = run.one_way_delay(self.zone, server)
-        token = conn.attempt
-        if not run.can_reach(self.index, server):
-            run.schedule(
-                run.now + min(self._dial, timeout), self.attempt_failed, conn, token, Result.UNREACHABLE
+        simulation = self.simulation
+        connection.attempt += 1
+        connection.attempt_started_at, connection.server = simulation.now, server
+        one_way = simulation.one_way_delay(self.zone, server)
+        attempt = connection.attempt
+        if not simulation.can_reach(self.index, server):
+            simulation.schedule(
+                simulation.now + min(self._dial_timeout_s, timeout_s),
+                self.attempt_failed,
+                connection,
+                attempt,
+                Result.UNREACHABLE,
+            )
+        elif simulation.servers[server].dead:
+            simulation.schedule(
+                simulation.now + 2 * one_way, self.attempt_failed, connection, attempt, Result.UNREACHABLE
             )
-        elif run.servers[server].dead:
-            run.schedule(run.now + 2 * way, self.attempt_failed, conn, token, Result.UNREACHABLE)
         else:
-            run.schedule(run.now + 2 * way, self.write_first_line, conn, token, timeout)
+            simulation.schedule(
+                simulation.now + 2 * one_way, self.write_first_line, connection, attempt, timeout_s
+            )
 
-    def write_first_line(self, conn: SimulatedConnection, token: int, timeout: float) -> None:
+    def write_first_line(self, connection: SimulatedConnection, attempt: int, timeout_s: float) -> None:
         """It is connected: write the first line, if the server is still to be sent to."""
-        run = self.simulation
-        if conn.attempt != token or conn.closed:
+        simulation = self.simulation
+        if connection.attempt != attempt or connection.closed:
             return
-        if conn.server not in self.ready_servers and not self.ignores_server_list():
-            return self.attempt_failed(conn, token, Result.NOT_SENT)
-        run.schedule(
-            run.now + run.one_way_delay(self.zone, conn.server), run.deliver_first_line, self, conn, token
+        if connection.server not in self.ready_servers and not self.ignores_server_list():
+            return self.attempt_failed(connection, attempt, Result.NOT_SENT)
+        simulation.schedule(
+            simulation.now + simulation.one_way_delay(self.zone, connection.server),
+            simulation.deliver_first_line,
+            self,
+            connection,
+            attempt,
+        )
+        simulation.schedule(
+            connection.attempt_started_at + timeout_s, self.attempt_expired, connection, attempt
         )
-        run.schedule(conn.attempt_started_at + timeout, self.attempt_expired, conn, token)
 
     def ignores_server_list(self) -> bool:
         """Whether it looks away from what discovery says; only a mutant does."""
         return False
 
-    def attempt_expired(self, conn: SimulatedConnection, token: int) -> None:
+    def attempt_expired(self, connection: SimulatedConnection, attempt: int) -> None:
         """The wait for a verdict is over."""
-        if conn.attempt == token and not conn.is_up and not conn.closed:
-            self.simulation.close_at_server(conn.server, conn, False)
-            self.attempt_failed(conn, token, Result.TIMEOUT)
+        if connection.attempt == attempt and not connection.is_up and not connection.closed:
+            self.simulation.close_at_server(connection.server, connection, False)
+            self.attempt_failed(connection, attempt, Result.TIMEOUT)
 
-    def attempt_failed(self, conn: SimulatedConnection, token: int, result: Result) -> None:
+    def attempt_failed(self, connection: SimulatedConnection, attempt: int, result: Result) -> None:
         """An attempt has ended without a connection."""
-        if conn.attempt != token or conn.closed or conn.is_up or not self.alive:
+        if connection.attempt != attempt or connection.closed or connection.is_up or not self.alive:
             return
-        conn.attempt += 1
+        connection.attempt += 1
         self.simulation.statistics.count_event(self.simulation.now, f"attempt.{result.value}")
         self.decider.report(
             self.simulation.now_ms,
-            Ended(conn.id, (self.simulation.now - conn.attempt_started_at) * 1000, result, False),
+            Ended(connection.id, (self.simulation.now - connection.attempt_started_at) * 1000, result, False),
         )
-        self.place_connection(conn)
+        self.place_connection(connection)
 
-    def establish(self, conn: SimulatedConnection, token: int, receipt: str) -> None:
+    def establish(self, connection: SimulatedConnection, attempt: int, receipt: str) -> None:
         """`UP` has come from the server."""
-        if conn.attempt != token or conn.closed or not self.alive:
+        if connection.attempt != attempt or connection.closed or not self.alive:
             return
-        run = self.simulation
-        conn.is_up, conn.established_at = True, run.now
-        self.health.record_answer(conn.server, run.now_ms)
-        self.decider.report(run.now_ms, Up(conn.id, (run.now - conn.attempt_started_at) * 1000))
-        self.send_answer(conn, f"UP {receipt}")
+        simulation = self.simulation
+        connection.is_up, connection.established_at = True, simulation.now
+        self.health.record_answer(connection.server, simulation.now_ms)
+        self.decider.report(
+            simulation.now_ms, Up(connection.id, (simulation.now - connection.attempt_started_at) * 1000)
+        )
+        self.send_answer(connection, f"UP {receipt}")
 
-    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
+    def send_answer(self, connection: SimulatedConnection, line: str) -> None:
         """Write the final answer to the client."""
-        run = self.simulation
-        run.schedule(run.now + run.zone_delay, run.deliver_answer, self, conn, line)
+        simulation = self.simulation
+        simulation.schedule(
+            simulation.now + simulation.zone_delay, simulation.deliver_answer, self, connection, line
+        )
 
-    def remove_connection(self, conn: SimulatedConnection) -> None:
+    def remove_connection(self, connection: SimulatedConnection) -> None:
         """Nothing of it is left here."""
-        conn.closed = True
-        self.connections.pop(conn.id, None)
-        self.awaiting_answers.pop(conn.id, None)
+        connection.closed = True
+        self.connections.pop(connection.id, None)
+        self.awaiting_answers.pop(connection.id, None)
 
     # What stands.
 
-    def lines_to_server(self, conn: SimulatedConnection, number: int) -> Iterable[int]:
+    def lines_to_server(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
         """The client's lines that go on for this one."""
         return (number,)
 
-    def lines_to_client(self, conn: SimulatedConnection, number: int) -> Iterable[int]:
+    def lines_to_client(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
         """The answers that go back for this one."""
         return (number,)
 
-    def record_delay(self, conn: SimulatedConnection, delay: float) -> None:
+    def record_delay(self, connection: SimulatedConnection, delay_s: float) -> None:
         """A line has been answered after so many seconds."""
-        ms = self.simulation.now_ms
-        self.health.record_answer(conn.server, ms)
-        self.decider.report(ms, Delay(conn.id, delay * 1000))
+        now = self.simulation.now_ms
+        self.health.record_answer(connection.server, now)
+        self.decider.report(now, Delay(connection.id, delay_s * 1000))
 
-    def close(self, conn: SimulatedConnection, result: Result) -> None:
+    def close(self, connection: SimulatedConnection, result: Result) -> None:
         """A standing connection, or a set-up that nobody waits for, has ended."""
-        if conn.closed:
+        if connection.closed:
             return
-        since = conn.established_at if conn.is_up else conn.attempt_started_at
-        self.remove_connection(conn)
+        since = connection.established_at if connection.is_up else connection.attempt_started_at
+        self.remove_connection(connection)
         self.decider.report(
-            self.simulation.now_ms, Ended(conn.id, (self.simulation.now - since) * 1000, result, True)
+            self.simulation.now_ms, Ended(connection.id, (self.simulation.now - since) * 1000, result, True)
         )
 
-    def move_client(self, name: str, result: Result = Result.CANCELLED) -> None:
+    def move_client(self, connection_id: str, result: Result = Result.CANCELLED) -> None:
         """Tell a client to come again; both sides end."""
-        conn = self.connections.get(name)
-        if conn is None or not conn.is_up:
+        connection = self.connections.get(connection_id)
+        if connection is None or not connection.is_up:
             return
-        self.close(conn, result)
-        self.simulation.close_at_server(conn.server, conn, False)
-        self.simulation.deliver_move(conn)
+        self.close(connection, result)
+        self.simulation.close_at_server(connection.server, connection, False)
+        self.simulation.deliver_move(connection)
 
     # The process.
 
     def tick(self) -> None:
         """The module's chores, and a look at silent connections."""
-        run = self.simulation
-        chores = self.decider.tick(run.now_ms)
-        for name in chores.moves:
-            run.statistics.count_event(run.now, "moves.asked")
-            self.move_client(name)
-        if chores.watch:
-            run.request_watch(self)
-        if self.awaiting_answers and run.now - self._checked >= CHECK:
-            self._checked = run.now
+        simulation = self.simulation
+        actions = self.decider.tick(simulation.now_ms)
+        for connection_id in actions.moves:
+            simulation.statistics.count_event(simulation.now, "moves.asked")
+            self.move_client(connection_id)
+        if actions.watch:
+            simulation.request_watch(self)
+        if self.awaiting_answers and simulation.now - self._silence_checked_at >= SILENCE_CHECK_INTERVAL_S:
+            self._silence_checked_at = simulation.now
             self.check_silence()
 
     def check_silence(self) -> None:
         """Move the clients of silent servers, by the real program's rule."""
         now = self.simulation.now_ms
-        waits: dict[str, list[float]] = {}
-        for conn in list(self.awaiting_answers.values()):
-            if conn.unanswered_lines:
-                waits.setdefault(conn.server, []).append(now - EPOCH - conn.unanswered_lines[0][1] * 1000)
+        waits_by_server: dict[str, list[float]] = {}
+        for connection in list(self.awaiting_answers.values()):
+            if connection.unanswered_lines:
+                waits_by_server.setdefault(connection.server, []).append(
+                    now - EPOCH_MS - connection.unanswered_lines[0][1] * 1000
+                )
             else:
-                del self.awaiting_answers[conn.id]
-        silent = {
-            name for name, each in waits.items() if self.health.is_silent(name, len(each), max(each), now)
+                del self.awaiting_answers[connection.id]
+        silent_servers = {
+            name
+            for name, each in waits_by_server.items()
+            if self.health.is_silent(name, len(each), max(each), now)
         }
-        for conn in list(self.awaiting_answers.values()):
-            wait = now - EPOCH - conn.unanswered_lines[0][1] * 1000
-            if wait > (SILENT_SERVER_TIMEOUT_MS if conn.server in silent else SILENCE_TIMEOUT_MS):
+        for connection in list(self.awaiting_answers.values()):
+            wait = now - EPOCH_MS - connection.unanswered_lines[0][1] * 1000
+            if wait > (
+                SILENT_SERVER_TIMEOUT_MS if connection.server in silent_servers else SILENCE_TIMEOUT_MS
+            ):
                 self.simulation.statistics.count_event(self.simulation.now, "ends.silent")
-                self.move_client(conn.id, Result.TIMEOUT)
+                self.move_client(connection.id, Result.TIMEOUT)
 
     def apply_server_list(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
         """Discovery's answer has come."""
@@ -287,24 +315,27 @@
 
     def stop(self) -> None:
         """SIGTERM: serve on, then move everybody evenly."""
-        run = self.simulation
+        simulation = self.simulation
         self.stopping = True
-        longest = max(each.deadline_ms for each in run.scenario.classes) / 1000
-        given = min(longest, STOP_DEADLINE_MAX_S) + STOP_MARGIN_S
-        start, end = run.now + given * STOP_MOVE_BEGIN_FRACTION, run.now + given * STOP_MOVE_END_FRACTION
-        steps = int((end - start) / TICK)
-        for step in range(int(given * (1 - STOP_MOVE_BEGIN_FRACTION) / TICK) + 1):
-            run.schedule(start + step * TICK, self.move_share, max(0, steps - step))
-        run.schedule(run.now + STOP_DISPATCH_DELAY_S, run.dispatcher.remove, self.index)
-        run.schedule(run.now + given + KILL_SPARE, run.kill_balancer, self)
-
-    def move_share(self, left: int) -> None:
+        longest_deadline = max(each.deadline_ms for each in simulation.scenario.classes) / 1000
+        time_limit = min(longest_deadline, STOP_DEADLINE_MAX_S) + STOP_MARGIN_S
+        start, end = (
+            simulation.now + time_limit * STOP_MOVE_BEGIN_FRACTION,
+            simulation.now + time_limit * STOP_MOVE_END_FRACTION,
+        )
+        steps = int((end - start) / TICK_INTERVAL_S)
+        for step in range(int(time_limit * (1 - STOP_MOVE_BEGIN_FRACTION) / TICK_INTERVAL_S) + 1):
+            simulation.schedule(start + step * TICK_INTERVAL_S, self.move_share, max(0, steps - step))
+        simulation.schedule(simulation.now + STOP_DISPATCH_DELAY_S, simulation.dispatcher.remove, self.index)
+        simulation.schedule(simulation.now + time_limit + KILL_MARGIN_S, simulation.kill_balancer, self)
+
+    def move_share(self, steps_left: int) -> None:
         """Move an even part of what stands."""
         if not self.alive:
             return
-        standing = [name for name, each in self.connections.items() if each.is_up]
-        for name in standing[: len(standing) // (left + 1)]:
-            self.move_client(name)
+        standing = [connection_id for connection_id, each in self.connections.items() if each.is_up]
+        for connection_id in standing[: len(standing) // (steps_left + 1)]:
+            self.move_client(connection_id)
 
 
 class Outcome(NamedTuple):
@@ -327,12 +358,17 @@
         keep_on: bool = False,
         on_progress: Callable[[float], None] | None = None,
     ) -> None:
-        self.scenario, self.seed, self.make_decider, self._shell = scenario, seed, make_decider, balancer_type
-        self._passed = on_progress  # told of the virtual time, for whoever watches
+        self.scenario, self.seed, self.make_decider, self._balancer_type = (
+            scenario,
+            seed,
+            make_decider,
+            balancer_type,
+        )
+        self._on_progress = on_progress  # told of the virtual time, for whoever watches
         self._keep_on = keep_on  # after a broken rule
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._count = self._names = 0
+        self._event_count = self._connection_count = 0
         self.timeline: Timeline = expand_troubles(scenario, seed)
         self.server_specs = server_specs(scenario)
         self.servers = {each.name: FakeServer(scenario, each, seed) for each in self.server_specs}
@@ -340,555 +376,605 @@
             balancer_settings.decision_settings(scenario, index) for index in range(scenario.balancers.count)
         ]
         zones = {each.name: each.zone for each in self.server_specs}
-        self._zones = zones
+        self._server_zones = zones
         self.checker = Checker(scenario, zones, {each.name: each.cell for each in self.server_specs}, 0.0)
         self.statistics = RunStatistics(scenario)
         self.statistics.server_loads = {each.name: [] for each in self.server_specs}
         self.dispatcher, self.retry_policy = Dispatcher(scenario), RetryPolicy(scenario, seed)
         self.zone_delay = scenario.network.within_ms / 1000
-        self._far = scenario.network.between_ms / 1000
-        self._cut: list[Interval] = []
-        self._on: dict[str, dict[str, tuple[SimulatedBalancer, SimulatedConnection]]] = {
+        self._far_delay = scenario.network.between_ms / 1000
+        self._zone_cuts: list[Interval] = []
+        self._connections_at: dict[str, dict[str, tuple[SimulatedBalancer, SimulatedConnection]]] = {
             name: {} for name in self.servers
         }
-        self._aims = [each.message_aim_ms / 1000 for each in scenario.classes]
-        self._every = scenario.clients.message_every_s
-        self._slots: dict[int, list[Client]] = {}
+        self._message_goals_s = [each.message_aim_ms / 1000 for each in scenario.classes]
+        self._message_interval_s = scenario.clients.message_every_s
+        self._message_slots: dict[int, list[Client]] = {}
         self._seeds = Random(f"{seed}/balancers")
-        self._known: dict[str, Server] = {
+        self._known_servers: dict[str, Server] = {
             each.name: Server(each.name, each.zone, 0, each.cell, ServerState.READY, 1.0, 0.0)
             for each in self.server_specs
         }
-        self._late: list[Server] = []  # what a stale roster has not told yet
-        self._roster: dict[str, int] = {}  # troubles of discovery that are active, by effect
-        self._next_call = 0.0
+        self._unreported: list[Server] = []  # what a stale roster has not told yet
+        self._discovery_troubles: dict[str, int] = {}  # troubles of discovery that are active, by effect
+        self._next_call_at = 0.0
         self.reserved_loads = dict.fromkeys(self.servers, 0.0)  # for oracles, which share what they know
         self.balancers = [
-            balancer_type(self, index, self._seeds.randrange(SEEDS))
+            balancer_type(self, index, self._seeds.randrange(SEED_RANGE))
             for index in range(scenario.balancers.count)
         ]
 
     @property
     def now_ms(self) -> float:
         """The facade's clock."""
-        return EPOCH + self.now * 1000
+        return EPOCH_MS + self.now * 1000
 
-    def schedule(self, when: float, call: Callable[..., Any], *told_of: Any) -> None:
+    def schedule(self, at: float, call: Callable[..., Any], *arguments: Any) -> None:
         """Have it done then; what is due at one moment is done in the order it was asked for."""
-        self._count += 1
-        heapq.heappush(self._heap, (when, self._count, call, told_of))
+        self._event_count += 1
+        heapq.heappush(self._heap, (at, self._event_count, call, arguments))
 
     def one_way_delay(self, zone: int, server: str) -> float:
         """Seconds one way between a zone and a server."""
-        return self.zone_delay if self._zones[server] == zone else self._far
+        return self.zone_delay if self._server_zones[server] == zone else self._far_delay
 
-    def can_reach(self, balancer: int, server: str) -> bool:
+    def can_reach(self, balancer_index: int, server: str) -> bool:
         """Whether the network carries anything between them now."""
-        if not self._cut:
+        if not self._zone_cuts:
             return True
-        mine, its = balancer % len(self.scenario.zones), self._zones[server]
-        if mine == its:
+        balancer_zone, server_zone = balancer_index % len(self.scenario.zones), self._server_zones[server]
+        if balancer_zone == server_zone:
             return True
-        names = self.scenario.zones
-        return not any(each.target in (names[mine], names[its]) for each in self._cut)
+        zones = self.scenario.zones
+        return not any(each.target in (zones[balancer_zone], zones[server_zone]) for each in self._zone_cuts)
 
     def run(self) -> Outcome:
         """All of it."""
         end = self.scenario.seconds
-        self._begin()
+        self._schedule_start()
         heap = self._heap
-        broken = self.checker.violations
+        violations = self.checker.violations
         while heap and heap[0][0] <= end:
-            self.now, _, call, told_of = heapq.heappop(heap)
-            call(*told_of)
-            if broken and not self._keep_on:
+            self.now, _, call, arguments = heapq.heappop(heap)
+            call(*arguments)
+            if violations and not self._keep_on:
                 break
         self.now = min(self.now, end)
-        self.checker.finish(end if not broken else self.now)
-        return Outcome(self.statistics, broken, count_targets(self.scenario, self.timeline))
-
-    def _begin(self) -> None:
-        listing = tuple(self._known.values())
-        for shell in self.balancers:
-            shell.apply_server_list(ServerListKind.REMEMBERED, listing)
-        first = initial_clients(self.scenario, self.seed)
-        for number, client in enumerate(first):
-            self._adopt(client, self.server_specs[number % len(self.server_specs)].name)
+        self.checker.finish(end if not violations else self.now)
+        return Outcome(self.statistics, violations, count_targets(self.scenario, self.timeline))
+
+    def _schedule_start(self) -> None:
+        listing = tuple(self._known_servers.values())
+        for balancer in self.balancers:
+            balancer.apply_server_list(ServerListKind.REMEMBERED, listing)
+        open_clients = initial_clients(self.scenario, self.seed)
+        for number, client in enumerate(open_clients):
+            self._adopt_client(client, self.server_specs[number % len(self.server_specs)].name)
         for change in self.timeline.changes:
-            self.schedule(change.at, self._change, change)
+            self.schedule(change.at, self._apply_change, change)
         for each in discovery_updates(self.scenario, self.timeline):
-            known = self._known[each.server]._replace(
-                state=STATES[each.state],
-                started_at=EPOCH + each.started_at * 1000 if each.started_at else 0.0,
+            known = self._known_servers[each.server]._replace(
+                state=SERVER_STATES[each.state],
+                started_at=EPOCH_MS + each.started_at * 1000 if each.started_at else 0.0,
             )
-            self.schedule(each.at, self._learns, known)
-        self._come(arriving_clients(self.scenario, self.timeline, self.seed, len(first)))
+            self.schedule(each.at, self._discovery_learns, known)
+        self._schedule_next_arrival(
+            arriving_clients(self.scenario, self.timeline, self.seed, len(open_clients))
+        )
         self.schedule(0.0, self._tick)
-        self.schedule(SLOT, self._send_due, 1)
+        self.schedule(MESSAGE_SLOT_S, self._send_due_messages, 1)
         self.schedule(SERIES_STEP_S, self._sample)
 
     # Clients.
 
-    def _adopt(self, client: Client, server: str) -> None:
-        shell = self.balancers[client.index % len(self.balancers)]
-        name = self._name()
+    def _adopt_client(self, client: Client, server: str) -> None:
+        balancer = self.balancers[client.index % len(self.balancers)]
+        connection_id = self._new_connection_id()
         request = Request(
-            name, client.class_index, 0.0, client.tenant, client.hint, client.flow_key, client.group, False
+            connection_id,
+            client.class_index,
+            0.0,
+            client.tenant,
+            client.hint,
+            client.flow_key,
+            client.group,
+            False,
         )
-        conn = shell.connections[name] = SimulatedConnection(name, client, request)
-        conn.server, conn.is_up = server, True
-        client.connection_id, client.balancer, client.is_up = name, shell.index, True
-        self.servers[server].add_connection(name, client.load)
-        self._on[server][name] = (shell, conn)
-        self.checker.adopted(name, shell.name, client.class_index, server)
-        shell.decider.report(self.now_ms, Adopted(request, server))
-        self._wants(client)
-        self.schedule(client.leaves_at, self._leaves, client)
-
-    def _come(self, clients: Iterator[Client]) -> None:
+        connection = balancer.connections[connection_id] = SimulatedConnection(connection_id, client, request)
+        connection.server, connection.is_up = server, True
+        client.connection_id, client.balancer_index, client.is_up = connection_id, balancer.index, True
+        self.servers[server].add_connection(connection_id, client.load)
+        self._connections_at[server][connection_id] = (balancer, connection)
+        self.checker.adopted(connection_id, balancer.name, client.class_index, server)
+        balancer.decider.report(self.now_ms, Adopted(request, server))
+        self._schedule_messages(client)
+        self.schedule(client.leaves_at, self._client_leaves, client)
+
+    def _schedule_next_arrival(self, clients: Iterator[Client]) -> None:
         client = next(clients, None)
         if client is not None:
-            self.schedule(client.arrives_at, self._comes, client, clients)
+            self.schedule(client.arrives_at, self._client_arrives, client, clients)
 
-    def _comes(self, client: Client, clients: Iterator[Client]) -> None:
-        self._wants(client)
-        self.schedule(client.leaves_at, self._leaves, client)
-        self._open(client)
-        self._come(clients)
+    def _client_arrives(self, client: Client, clients: Iterator[Client]) -> None:
+        self._schedule_messages(client)
+        self.schedule(client.leaves_at, self._client_leaves, client)
+        self._open_connection(client)
+        self._schedule_next_arrival(clients)
 
-    def _wants(self, client: Client) -> None:
+    def _schedule_messages(self, client: Client) -> None:
         client.next_message_at = client.arrives_at + client.message_phase
-        self._slots.setdefault(int(client.next_message_at / SLOT) + 1, []).append(client)
+        self._message_slots.setdefault(int(client.next_message_at / MESSAGE_SLOT_S) + 1, []).append(client)
 
-    def _name(self) -> str:
-        self._names += 1
-        return f"{self._names:016x}"
+    def _new_connection_id(self) -> str:
+        self._connection_count += 1
+        return f"{self._connection_count:016x}"
 
-    def _open(self, client: Client) -> None:
+    def _open_connection(self, client: Client) -> None:
         if self.now >= client.leaves_at:
             return
         index = self.dispatcher.next_balancer()
         if index < 0 or not self.balancers[index].alive:
             self.statistics.count_event(self.now, "clients.no_balancer")
-            self.schedule(self.now + self.retry_policy.delay_after_disconnect(client), self._open, client)
+            self.schedule(
+                self.now + self.retry_policy.delay_after_disconnect(client), self._open_connection, client
+            )
             return
-        shell, name = self.balancers[index], self._name()
-        client.connection_id, client.balancer, client.is_up, client.lines_sent = name, index, False, 0
-        wait = self.scenario.classes[client.class_index].deadline_ms / 1000
-        self.checker.opened(self.now, name, shell.name, client.class_index, wait)
+        balancer, connection_id = self.balancers[index], self._new_connection_id()
+        client.connection_id, client.balancer_index, client.is_up, client.lines_sent = (
+            connection_id,
+            index,
+            False,
+            0,
+        )
+        wait_s = self.scenario.classes[client.class_index].deadline_ms / 1000
+        self.checker.opened(self.now, connection_id, balancer.name, client.class_index, wait_s)
         self.statistics.count_event(
             self.now, "opens.again" if client.returning else "opens.retry" if client.failed_tries else "opens"
         )
-        self.schedule(self.now + self.zone_delay, self._reach_balancer, shell, client, name, wait)
-        self.schedule(self.now + wait + IMMEDIATE_ANSWER_MAX_S, self._gives_up, client, name)
+        self.schedule(
+            self.now + self.zone_delay, self._deliver_request, balancer, client, connection_id, wait_s
+        )
+        self.schedule(
+            self.now + wait_s + IMMEDIATE_ANSWER_MAX_S, self._client_timed_out, client, connection_id
+        )
 
-    def _reach_balancer(self, shell: SimulatedBalancer, client: Client, name: str, wait: float) -> None:
-        if shell.alive:
-            shell.accept_request(client, name, wait)
+    def _deliver_request(
+        self, balancer: SimulatedBalancer, client: Client, connection_id: str, wait_s: float
+    ) -> None:
+        if balancer.alive:
+            balancer.accept_request(client, connection_id, wait_s)
         else:
-            self._broke(client, name)
+            self._connection_broke(client, connection_id)
 
-    def _gives_up(self, client: Client, name: str) -> None:
-        if client.connection_id == name and not client.is_up:
+    def _client_timed_out(self, client: Client, connection_id: str) -> None:
+        if client.connection_id == connection_id and not client.is_up:
             self.statistics.count_event(self.now, "clients.gave_up")
-            self._again(client, self.retry_policy.delay_after_answer(client, True))
+            self._retry_later(client, self.retry_policy.delay_after_answer(client, True))
 
-    def deliver_answer(self, shell: SimulatedBalancer, conn: SimulatedConnection, line: str) -> None:
+    def deliver_answer(self, balancer: SimulatedBalancer, connection: SimulatedConnection, line: str) -> None:
         """A final answer has come to a client."""
-        client = conn.client
-        if client.connection_id != conn.id:  # it has given up, but still hears
-            return self.checker.answered(self.now, conn.id, line)
-        opened = self._opened(client)
-        self.checker.answered(self.now, conn.id, line)
-        word, _, rest = line.partition(" ")
+        client = connection.client
+        if client.connection_id != connection.id:  # it has given up, but still hears
+            return self.checker.answered(self.now, connection.id, line)
+        opened_at = self._opened_at(client)
+        self.checker.answered(self.now, connection.id, line)
+        first_word, _, argument = line.partition(" ")
         self.statistics.count_answer(
-            self.now, client.class_index, {"UP": "served", "BUSY": "refused"}.get(word, "failed")
+            self.now, client.class_index, {"UP": "served", "BUSY": "refused"}.get(first_word, "failed")
         )
-        if word == "UP":
+        if first_word == "UP":
             client.is_up, client.failed_tries, client.returning = True, 0, False
-            self.statistics.setup_times.add(self.now - opened)
+            self.statistics.setup_times.add(self.now - opened_at)
             if self.now >= client.leaves_at:
-                self._leaves(client)
+                self._client_leaves(client)
             return
-        self.checker.left(self.now, conn.id)
-        self._again(client, self.retry_policy.delay_after_answer(client, word != "BUSY", float(rest or 0)))
+        self.checker.left(self.now, connection.id)
+        self._retry_later(
+            client, self.retry_policy.delay_after_answer(client, first_word != "BUSY", float(argument or 0))
+        )
 
-    def _opened(self, client: Client) -> float:
-        story = self.checker.opened_at(client.connection_id)
-        return self.now if story is None else story
+    def _opened_at(self, client: Client) -> float:
+        opened_at = self.checker.opened_at(client.connection_id)
+        return self.now if opened_at is None else opened_at
 
-    def _again(self, client: Client, wait: float | None) -> None:
+    def _retry_later(self, client: Client, wait_s: float | None) -> None:
         client.connection_id, client.is_up = "", False
-        if wait is None:
+        if wait_s is None:
             self.statistics.count_event(self.now, "clients.out_of_patience")
         else:
-            self.schedule(self.now + wait, self._open, client)
+            self.schedule(self.now + wait_s, self._open_connection, client)
 
-    def _broke(self, client: Client, name: str) -> None:
-        if client.connection_id == name:
-            self.checker.ended(self.now, name)
+    def _connection_broke(self, client: Client, connection_id: str) -> None:
+        if client.connection_id == connection_id:
+            self.checker.ended(self.now, connection_id)
             self.statistics.count_event(self.now, "clients.broken")
-            self._again(client, self.retry_policy.delay_after_disconnect(client))
+            self._retry_later(client, self.retry_policy.delay_after_disconnect(client))
 
-    def deliver_move(self, conn: SimulatedConnection) -> None:
+    def deliver_move(self, connection: SimulatedConnection) -> None:
         """A client is told `MOVE`."""
-        client = conn.client
-        if client.connection_id == conn.id:
-            self.checker.moved(self.now, conn.id)
+        client = connection.client
+        if client.connection_id == connection.id:
+            self.checker.moved(self.now, connection.id)
             self.statistics.count_event(self.now, "clients.moved")
-            self._again(client, self.retry_policy.delay_after_disconnect(client))
+            self._retry_later(client, self.retry_policy.delay_after_disconnect(client))
 
-    def _leaves(self, client: Client) -> None:
+    def _client_leaves(self, client: Client) -> None:
         if not client.is_up or self.now < client.leaves_at:
             return
-        shell = self.balancers[client.balancer]
-        conn = shell.connections.get(client.connection_id)
+        balancer = self.balancers[client.balancer_index]
+        connection = balancer.connections.get(client.connection_id)
         self.checker.left(self.now, client.connection_id)
         client.is_up, client.connection_id = False, ""
-        if conn is not None:
-            shell.close(conn, Result.CANCELLED)
-            self.close_at_server(conn.server, conn, False)
+        if connection is not None:
+            balancer.close(connection, Result.CANCELLED)
+            self.close_at_server(connection.server, connection, False)
 
     # Messages.
 
-    def _send_due(self, slot: int) -> None:
-        self.schedule((slot + 1) * SLOT, self._send_due, slot + 1)
+    def _send_due_messages(self, slot: int) -> None:
+        self.schedule((slot + 1) * MESSAGE_SLOT_S, self._send_due_messages, slot + 1)
         step = self.statistics.step_index(self.now)
-        slots, wanted = self._slots, self.statistics.wanted_messages
-        for client in slots.pop(slot, ()):
+        message_slots, wanted = self._message_slots, self.statistics.wanted_messages
+        for client in message_slots.pop(slot, ()):
             if client.leaves_at <= self.now:
                 continue
             wanted[client.class_index][step] += 1
             client.wanted_messages += 1
-            client.next_message_at += self._every
-            following = max(int(client.next_message_at / SLOT) + 1, slot + 1)
-            slots.setdefault(following, []).append(client)
+            client.next_message_at += self._message_interval_s
+            next_slot = max(int(client.next_message_at / MESSAGE_SLOT_S) + 1, slot + 1)
+            message_slots.setdefault(next_slot, []).append(client)
             if client.is_up:
-                shell = self.balancers[client.balancer]
-                conn = shell.connections.get(client.connection_id)
-                if conn is not None and conn.is_up:
+                balancer = self.balancers[client.balancer_index]
+                connection = balancer.connections.get(client.connection_id)
+                if connection is not None and connection.is_up:
                     client.lines_sent += 1
-                    for number in shell.lines_to_server(conn, client.lines_sent):
-                        self._line(shell, conn, number)
+                    for number in balancer.lines_to_server(connection, client.lines_sent):
+                        self._send_line(balancer, connection, number)
 
-    def _line(self, shell: SimulatedBalancer, conn: SimulatedConnection, number: int) -> None:
+    def _send_line(self, balancer: SimulatedBalancer, connection: SimulatedConnection, number: int) -> None:
         """A line is on its way to the server."""
-        server = self.servers[conn.server]
-        conn.unanswered_lines.append((number, self.now))
-        if server.hanging or (self._cut and not self.can_reach(shell.index, conn.server)):
-            shell.awaiting_answers[conn.id] = conn
+        server = self.servers[connection.server]
+        connection.unanswered_lines.append((number, self.now))
+        if server.hanging or (self._zone_cuts and not self.can_reach(balancer.index, connection.server)):
+            balancer.awaiting_answers[connection.id] = connection
             return
-        self.checker.server_received_line(self.now, conn.id, number)
-        delay = 2 * (self.one_way_delay(shell.zone, conn.server) + self.zone_delay) + server.message_delay(
-            self.now
-        )
-        if delay <= IMMEDIATE_ANSWER_MAX_S and conn.answer_due_at <= self.now:
-            self._answers(shell, conn, number, delay)
+        self.checker.server_received_line(self.now, connection.id, number)
+        delay_s = 2 * (
+            self.one_way_delay(balancer.zone, connection.server) + self.zone_delay
+        ) + server.message_delay(self.now)
+        if delay_s <= IMMEDIATE_ANSWER_MAX_S and connection.answer_due_at <= self.now:
+            self._deliver_line_answer(balancer, connection, number, delay_s)
             return
-        conn.answer_due_at = max(conn.answer_due_at, self.now + delay)
-        delay = conn.answer_due_at - self.now
-        if delay >= LONG:
-            shell.awaiting_answers[conn.id] = conn
-        self.schedule(conn.answer_due_at, self._answers, shell, conn, number, delay)
-
-    def _answers(
-        self, shell: SimulatedBalancer, conn: SimulatedConnection, number: int, delay: float
+        connection.answer_due_at = max(connection.answer_due_at, self.now + delay_s)
+        delay_s = connection.answer_due_at - self.now
+        if delay_s >= WATCHED_DELAY_MIN_S:
+            balancer.awaiting_answers[connection.id] = connection
+        self.schedule(
+            connection.answer_due_at, self._deliver_line_answer, balancer, connection, number, delay_s
+        )
+
+    def _deliver_line_answer(
+        self, balancer: SimulatedBalancer, connection: SimulatedConnection, number: int, delay_s: float
     ) -> None:
-        if conn.closed or not shell.alive:
+        if connection.closed or not balancer.alive:
             return
-        server = self.servers[conn.server]
-        if server.hanging or (self._cut and not self.can_reach(shell.index, conn.server)):
+        server = self.servers[connection.server]
+        if server.hanging or (self._zone_cuts and not self.can_reach(balancer.index, connection.server)):
             return
-        sent = conn.unanswered_lines.popleft()[1] if conn.unanswered_lines else self.now
-        shell.record_delay(conn, delay)
-        client = conn.client
-        for each in shell.lines_to_client(conn, number):
-            self.checker.client_received_answer(self.now, conn.id, each)
-        self.statistics.message_times.add(delay)
-        if delay <= self._aims[client.class_index]:
+        sent = connection.unanswered_lines.popleft()[1] if connection.unanswered_lines else self.now
+        balancer.record_delay(connection, delay_s)
+        client = connection.client
+        for each in balancer.lines_to_client(connection, number):
+            self.checker.client_received_answer(self.now, connection.id, each)
+        self.statistics.message_times.add(delay_s)
+        if delay_s <= self._message_goals_s[client.class_index]:
             client.good_messages += 1
             self.statistics.good_messages[client.class_index][self.statistics.step_index(sent)] += 1
 
-    def _resume(self, server: str) -> None:
+    def _resume_answers(self, server_name: str) -> None:
         """A server that hung, or was cut off, goes on: what waits there is answered, late."""
-        for shell, conn in list(self._on[server].values()):
+        for balancer, connection in list(self._connections_at[server_name].values()):
             if (
-                not conn.is_up
-                or conn.closed
-                or not self.can_reach(shell.index, server)
-                or self.servers[server].hanging
+                not connection.is_up
+                or connection.closed
+                or not self.can_reach(balancer.index, server_name)
+                or self.servers[server_name].hanging
             ):
                 continue
-            waiting = list(conn.unanswered_lines)
-            conn.unanswered_lines.clear()
-            for number, sent in waiting:
-                self.checker.server_received_line(self.now, conn.id, number)
-                delay = self.now - sent + self.servers[server].message_delay(self.now)
-                conn.unanswered_lines.append((number, sent))
-                self._answers(shell, conn, number, delay)
+            unanswered = list(connection.unanswered_lines)
+            connection.unanswered_lines.clear()
+            for number, sent in unanswered:
+                self.checker.server_received_line(self.now, connection.id, number)
+                delay_s = self.now - sent + self.servers[server_name].message_delay(self.now)
+                connection.unanswered_lines.append((number, sent))
+                self._deliver_line_answer(balancer, connection, number, delay_s)
 
     # Servers.
 
-    def deliver_first_line(self, shell: SimulatedBalancer, conn: SimulatedConnection, token: int) -> None:
+    def deliver_first_line(
+        self, balancer: SimulatedBalancer, connection: SimulatedConnection, attempt: int
+    ) -> None:
         """A first line has come to a server."""
-        if conn.attempt != token or conn.closed or not shell.alive:
+        if connection.attempt != attempt or connection.closed or not balancer.alive:
             return
-        name, now = conn.server, self.now
-        server, way = self.servers[name], self.one_way_delay(shell.zone, name)
-        if not self.can_reach(shell.index, name):
+        server_name, now = connection.server, self.now
+        server, one_way = self.servers[server_name], self.one_way_delay(balancer.zone, server_name)
+        if not self.can_reach(balancer.index, server_name):
             return
-        verdict, wait = server.receive_first_line(now, conn.id, conn.client.load)
+        verdict, delay_s = server.receive_first_line(now, connection.id, connection.client.load)
         if verdict is SetupReply.DOWN:
-            self.schedule(now + way, shell.attempt_failed, conn, token, Result.RESET)
+            self.schedule(now + one_way, balancer.attempt_failed, connection, attempt, Result.RESET)
             return
-        self.checker.took(now, name, conn.id)
+        self.checker.took(now, server_name, connection.id)
         if verdict is SetupReply.SILENT:
-            self._on[name][conn.id] = (shell, conn)
+            self._connections_at[server_name][connection.id] = (balancer, connection)
         elif verdict is SetupReply.UP:
-            self._on[name][conn.id] = (shell, conn)
-            if server.crashes_from_setup(now, conn.id, conn.client.load):
+            self._connections_at[server_name][connection.id] = (balancer, connection)
+            if server.crashes_from_setup(now, connection.id, connection.client.load):
                 self.statistics.count_event(now, "servers.fallen")
                 self.checker.cold_server_fell(
-                    now, name, list(server.recent_setups), server.cold_setup_budget(now)
+                    now, server_name, list(server.recent_setups), server.cold_setup_budget(now)
                 )
-                self._break_all(name)
+                self._reset_connections(server_name)
                 return
-            self.schedule(now + wait, self._says, shell, conn, token)
+            self.schedule(now + delay_s, self._deliver_up, balancer, connection, attempt)
         else:
-            self.checker.said(now, name, conn.id, verdict.value)
-            self.checker.dropped(now, name, conn.id, True)
+            self.checker.said(now, server_name, connection.id, verdict.value)
+            self.checker.dropped(now, server_name, connection.id, True)
             result = Result.FULL if verdict is SetupReply.BUSY else Result.ERROR
-            self.schedule(now + way, shell.attempt_failed, conn, token, result)
+            self.schedule(now + one_way, balancer.attempt_failed, connection, attempt, result)
 
-    def _says(self, shell: SimulatedBalancer, conn: SimulatedConnection, token: int) -> None:
-        server = self.servers[conn.server]
-        if conn.attempt != token or conn.closed or server.dead or server.hanging:
+    def _deliver_up(self, balancer: SimulatedBalancer, connection: SimulatedConnection, attempt: int) -> None:
+        server = self.servers[connection.server]
+        if connection.attempt != attempt or connection.closed or server.dead or server.hanging:
             return
-        receipt = f"{conn.server}.{conn.id}"
-        self.checker.said(self.now, conn.server, conn.id, f"UP {receipt}")
-        if self.can_reach(shell.index, conn.server):
+        receipt = f"{connection.server}.{connection.id}"
+        self.checker.said(self.now, connection.server, connection.id, f"UP {receipt}")
+        if self.can_reach(balancer.index, connection.server):
             self.schedule(
-                self.now + self.one_way_delay(shell.zone, conn.server), shell.establish, conn, token, receipt
+                self.now + self.one_way_delay(balancer.zone, connection.server),
+                balancer.establish,
+                connection,
+                attempt,
+                receipt,
             )
 
-    def close_at_server(self, name: str, conn: SimulatedConnection, by_server: bool) -> None:
+    def close_at_server(self, server_name: str, connection: SimulatedConnection, by_server: bool) -> None:
         """The connection between balancer and server has ended."""
-        if self._on[name].pop(conn.id, None) is not None:
-            self.servers[name].remove_connection(self.now, conn.id)
-            self.checker.dropped(self.now, name, conn.id, by_server)
+        if self._connections_at[server_name].pop(connection.id, None) is not None:
+            self.servers[server_name].remove_connection(self.now, connection.id)
+            self.checker.dropped(self.now, server_name, connection.id, by_server)
 
-    def _break_all(self, name: str) -> None:
+    def _reset_connections(self, server_name: str) -> None:
         """A server has died: each connection there is reset."""
-        on = list(self._on[name].values())
-        self._on[name].clear()
-        for shell, conn in on:
-            self.checker.dropped(self.now, name, conn.id, True)
-            way = self.one_way_delay(shell.zone, name)
-            if conn.is_up:
-                self.schedule(self.now + way, self._deliver_reset, shell, conn)
+        on = list(self._connections_at[server_name].values())
+        self._connections_at[server_name].clear()
+        for balancer, connection in on:
+            self.checker.dropped(self.now, server_name, connection.id, True)
+            one_way = self.one_way_delay(balancer.zone, server_name)
+            if connection.is_up:
+                self.schedule(self.now + one_way, self._deliver_reset, balancer, connection)
             else:
-                self.schedule(self.now + way, shell.attempt_failed, conn, conn.attempt, Result.RESET)
+                self.schedule(
+                    self.now + one_way, balancer.attempt_failed, connection, connection.attempt, Result.RESET
+                )
 
-    def _deliver_reset(self, shell: SimulatedBalancer, conn: SimulatedConnection) -> None:
-        if not conn.closed and shell.alive:
-            shell.close(conn, Result.RESET)
-            self._broke(conn.client, conn.id)
+    def _deliver_reset(self, balancer: SimulatedBalancer, connection: SimulatedConnection) -> None:
+        if not connection.closed and balancer.alive:
+            balancer.close(connection, Result.RESET)
+            self._connection_broke(connection.client, connection.id)
 
     # Troubles.
 
-    def _change(self, change: IntervalChange) -> None:
+    def _apply_change(self, change: IntervalChange) -> None:
         each, begins = change.interval, change.begins
         if each.target in self.servers:
             server = self.servers[each.target]
             hung = server.hanging
             changed = server.apply_change(self.now, begins, each)
             if changed and server.dead:
-                self._break_all(each.target)
+                self._reset_connections(each.target)
             elif changed:
                 self.checker.server_started(self.now, each.target)
             elif hung and not server.hanging and not server.dead:
-                self._resume(each.target)
+                self._resume_answers(each.target)
         elif each.effect == "zone-cut":
             if begins:
-                self._cut.append(each)
+                self._zone_cuts.append(each)
             else:
-                self._cut.remove(each)
+                self._zone_cuts.remove(each)
                 for name in self.servers:
-                    self._resume(name)
+                    self._resume_answers(name)
         elif each.effect.startswith("roster-"):
-            self._roster[each.effect] = self._roster.get(each.effect, 0) + (1 if begins else -1)
-            self._roster_change(each.effect, begins)
+            self._discovery_troubles[each.effect] = self._discovery_troubles.get(each.effect, 0) + (
+                1 if begins else -1
+            )
+            self._apply_discovery_change(each.effect, begins)
         elif each.effect == "drop" and begins:
             self._drop_clients(each.value)
         elif each.effect.startswith("balancer-"):
-            self._balancer_change(self.balancers[int(each.target[1:])], each, begins)
+            self._apply_balancer_change(self.balancers[int(each.target[1:])], each, begins)
 
-    def _drop_clients(self, part: float) -> None:
+    def _drop_clients(self, fraction: float) -> None:
         rng = Random(f"{self.seed}/drop/{self.now}")
-        for shell in self.balancers:
-            for conn in [each for each in shell.connections.values() if each.is_up]:
-                client = conn.client
-                if client.connection_id == conn.id and client.is_up and rng.random() < part:
-                    self.checker.left(self.now, conn.id)
-                    shell.close(conn, Result.CANCELLED)
-                    self.close_at_server(conn.server, conn, False)
+        for balancer in self.balancers:
+            for connection in [each for each in balancer.connections.values() if each.is_up]:
+                client = connection.client
+                if client.connection_id == connection.id and client.is_up and rng.random() < fraction:
+                    self.checker.left(self.now, connection.id)
+                    balancer.close(connection, Result.CANCELLED)
+                    self.close_at_server(connection.server, connection, False)
                     self.statistics.count_event(self.now, "clients.dropped")
-                    self._again(client, self.retry_policy.delay_after_disconnect(client))
+                    self._retry_later(client, self.retry_policy.delay_after_disconnect(client))
 
-    def _balancer_change(self, shell: SimulatedBalancer, each: Interval, begins: bool) -> None:
+    def _apply_balancer_change(self, balancer: SimulatedBalancer, each: Interval, begins: bool) -> None:
         if each.effect == "balancer-reload":
-            if shell.alive:
-                self.request_watch(shell)
+            if balancer.alive:
+                self.request_watch(balancer)
         elif not begins:
-            self._start(shell.index)
-        elif not shell.alive or shell.stopping:
+            self._start_balancer(balancer.index)
+        elif not balancer.alive or balancer.stopping:
             return
         elif each.effect == "balancer-restart":
-            shell.stop()
+            balancer.stop()
         else:
-            self.kill_balancer(shell)
+            self.kill_balancer(balancer)
 
-    def kill_balancer(self, shell: SimulatedBalancer) -> None:
+    def kill_balancer(self, balancer: SimulatedBalancer) -> None:
         """A balancer's process ends: each of its connections is reset."""
-        if not shell.alive:
+        if not balancer.alive:
             return
-        shell.alive = False
-        if shell.stopping:
-            self.dispatcher.remove(shell.index)
+        balancer.alive = False
+        if balancer.stopping:
+            self.dispatcher.remove(balancer.index)
         else:
-            self.schedule(self.now + self.scenario.balancers.front_notice_s, self._noticed, shell)
-        self.checker.balancer_died(self.now, shell.name, shell.stopping)
-        for conn in list(shell.connections.values()):
-            conn.closed = True
-            self.close_at_server(conn.server, conn, False) if conn.server else None
-            self._broke(conn.client, conn.id)
-        shell.connections.clear()
-        if shell.stopping:  # it is started again once its time down is over
-            down = [
-                each for each in self.timeline.with_effects("balancer-restart") if each.target == shell.name
+            self.schedule(
+                self.now + self.scenario.balancers.front_notice_s, self._dispatcher_notices_death, balancer
+            )
+        self.checker.balancer_died(self.now, balancer.name, balancer.stopping)
+        for connection in list(balancer.connections.values()):
+            connection.closed = True
+            self.close_at_server(connection.server, connection, False) if connection.server else None
+            self._connection_broke(connection.client, connection.id)
+        balancer.connections.clear()
+        if balancer.stopping:  # it is started again once its time down is over
+            restarts = [
+                each
+                for each in self.timeline.with_effects("balancer-restart")
+                if each.target == balancer.name
             ]
-            last = max((each.end - each.start for each in down if each.start <= self.now), default=0.0)
-            self.schedule(self.now + last, self._start, shell.index)
+            down_s = max((each.end - each.start for each in restarts if each.start <= self.now), default=0.0)
+            self.schedule(self.now + down_s, self._start_balancer, balancer.index)
 
-    def _noticed(self, shell: SimulatedBalancer) -> None:
-        if self.balancers[shell.index] is shell:
-            self.dispatcher.remove(shell.index)
+    def _dispatcher_notices_death(self, balancer: SimulatedBalancer) -> None:
+        if self.balancers[balancer.index] is balancer:
+            self.dispatcher.remove(balancer.index)
 
-    def _start(self, index: int) -> None:
+    def _start_balancer(self, index: int) -> None:
         if self.balancers[index].alive or self.timeline.is_active("balancer-die", f"b{index}", self.now):
             return
-        shell = self.balancers[index] = self._shell(self, index, self._seeds.randrange(SEEDS))
-        first = tuple(
+        balancer = self.balancers[index] = self._balancer_type(self, index, self._seeds.randrange(SEED_RANGE))
+        remembered = tuple(
             Server(each.name, each.zone, 0, each.cell, ServerState.READY, 1.0, 0.0)
             for each in self.server_specs
         )
-        shell.apply_server_list(ServerListKind.REMEMBERED, first)
+        balancer.apply_server_list(ServerListKind.REMEMBERED, remembered)
         self.dispatcher.restore(index)
 
     # Discovery.
 
-    def _learns(self, known: Server) -> None:
-        self._known[known.id] = known
-        if self._roster.get("roster-stale"):
-            self._late.append(known)
+    def _discovery_learns(self, known: Server) -> None:
+        self._known_servers[known.id] = known
+        if self._discovery_troubles.get("roster-stale"):
+            self._unreported.append(known)
             return
-        self._knows(known)
-        self._tell((known,))
+        self._record_known_state(known)
+        self._notify_watchers((known,))
 
-    def _knows(self, known: Server) -> None:
+    def _record_known_state(self, known: Server) -> None:
         self.checker.knows(
             self.now, known.id, "Ready" if known.state is ServerState.READY else known.state.value
         )
 
-    def _tell(self, servers: tuple[Server, ...]) -> None:
-        for shell in self.balancers:
-            if shell.alive and shell.watching:
+    def _notify_watchers(self, servers: tuple[Server, ...]) -> None:
+        for balancer in self.balancers:
+            if balancer.alive and balancer.watching:
                 if self.scenario.discovery.whole:
                     self.schedule(
-                        self.now + self.zone_delay, self._told, shell, ServerListKind.WHOLE, self._listing()
+                        self.now + self.zone_delay,
+                        self._deliver_server_list,
+                        balancer,
+                        ServerListKind.WHOLE,
+                        self._listing(),
                     )
                 else:
                     self.schedule(
-                        self.now + self.zone_delay, self._told, shell, ServerListKind.CHANGES, servers
+                        self.now + self.zone_delay,
+                        self._deliver_server_list,
+                        balancer,
+                        ServerListKind.CHANGES,
+                        servers,
                     )
 
     def _listing(self) -> tuple[Server, ...]:
-        late = {each.id for each in self._late}
-        if late:  # stale: what it knew before
+        unreported_ids = {each.id for each in self._unreported}
+        if unreported_ids:  # stale: what it knew before
             return tuple(
-                each._replace(state=ServerState.READY, started_at=0.0) if each.id in late else each
-                for each in self._known.values()
+                each._replace(state=ServerState.READY, started_at=0.0) if each.id in unreported_ids else each
+                for each in self._known_servers.values()
             )
-        return tuple(self._known.values())
+        return tuple(self._known_servers.values())
 
-    def _told(self, shell: SimulatedBalancer, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
-        if not shell.alive:
+    def _deliver_server_list(
+        self, balancer: SimulatedBalancer, kind: ServerListKind, servers: tuple[Server, ...]
+    ) -> None:
+        if not balancer.alive:
             return
         for each in servers:
             state = "Ready" if each.state is ServerState.READY else each.state.value
-            born = (each.started_at - EPOCH) / 1000 if each.started_at else 0.0
-            self.checker.balancer_notified(self.now, shell.name, each.id, state, born)
-        shell.apply_server_list(kind, servers)
+            started_at_s = (each.started_at - EPOCH_MS) / 1000 if each.started_at else 0.0
+            self.checker.balancer_notified(self.now, balancer.name, each.id, state, started_at_s)
+        balancer.apply_server_list(kind, servers)
 
-    def request_watch(self, shell: SimulatedBalancer) -> None:
+    def request_watch(self, balancer: SimulatedBalancer) -> None:
         """A balancer calls discovery; calls are worked through in turn."""
-        self.checker.asks(self.now, shell.name, True)
-        self._next_call = max(self._next_call, self.now) + 1 / self.scenario.discovery.calls_per_s
-        shell.watching = False
-        self.schedule(self._next_call + self.zone_delay, self._call, shell)
+        self.checker.asks(self.now, balancer.name, True)
+        self._next_call_at = max(self._next_call_at, self.now) + 1 / self.scenario.discovery.calls_per_s
+        balancer.watching = False
+        self.schedule(self._next_call_at + self.zone_delay, self._answer_call, balancer)
 
-    def _call(self, shell: SimulatedBalancer) -> None:
-        if not shell.alive:
+    def _answer_call(self, balancer: SimulatedBalancer) -> None:
+        if not balancer.alive:
             return
-        if self._roster.get("roster-out"):
-            self.schedule(self.now + ASK_FAILS, self._lost, shell)
-        elif self._roster.get("roster-silent"):
-            self.schedule(self.now + ASK_SILENT, self._lost, shell)
+        if self._discovery_troubles.get("roster-out"):
+            self.schedule(self.now + REFUSED_CALL_S, self._watch_lost, balancer)
+        elif self._discovery_troubles.get("roster-silent"):
+            self.schedule(self.now + CALL_TIMEOUT_S, self._watch_lost, balancer)
         else:
-            shell.watching = True
-            self._told(shell, ServerListKind.WHOLE, self._listing())
+            balancer.watching = True
+            self._deliver_server_list(balancer, ServerListKind.WHOLE, self._listing())
 
-    def _lost(self, shell: SimulatedBalancer) -> None:
-        if shell.alive:
-            shell.watching = False
-            self.checker.asks(self.now, shell.name, False)
-            shell.decider.report(self.now_ms, ServerListLost())
+    def _watch_lost(self, balancer: SimulatedBalancer) -> None:
+        if balancer.alive:
+            balancer.watching = False
+            self.checker.asks(self.now, balancer.name, False)
+            balancer.decider.report(self.now_ms, ServerListLost())
 
-    def _roster_change(self, effect: str, begins: bool) -> None:
+    def _apply_discovery_change(self, effect: str, begins: bool) -> None:
         if effect in ("roster-out", "roster-silent") and begins:
-            for shell in self.balancers:
-                if shell.watching:
-                    shell.watching = False
-                    wait = ASK_FAILS if effect == "roster-out" else WATCH_SILENT
-                    self.schedule(self.now + wait, self._lost, shell)
-        elif effect == "roster-stale" and not self._roster.get(effect):
-            late, self._late = self._late, []
-            for each in late:
-                self._knows(each)
-            if late:
-                self._tell(tuple(late))
+            for balancer in self.balancers:
+                if balancer.watching:
+                    balancer.watching = False
+                    delay_s = REFUSED_CALL_S if effect == "roster-out" else WATCH_TIMEOUT_S
+                    self.schedule(self.now + delay_s, self._watch_lost, balancer)
+        elif effect == "roster-stale" and not self._discovery_troubles.get(effect):
+            unreported, self._unreported = self._unreported, []
+            for each in unreported:
+                self._record_known_state(each)
+            if unreported:
+                self._notify_watchers(tuple(unreported))
 
     # Time.
 
     def _tick(self) -> None:
-        for shell in self.balancers:
-            if shell.alive:
-                shell.tick()
-        self.schedule(self.now + TICK, self._tick)
+        for balancer in self.balancers:
+            if balancer.alive:
+                balancer.tick()
+        self.schedule(self.now + TICK_INTERVAL_S, self._tick)
 
     def _sample(self) -> None:
         for name, server in self.servers.items():
             server.advance(self.now)
             self.statistics.server_loads[name].append(0.0 if server.dead else server.utilisation(self.now))
-        if self._passed is not None:
-            self._passed(self.now)
+        if self._on_progress is not None:
+            self._on_progress(self.now)
         self.schedule(self.now + SERIES_STEP_S, self._sample)
 
 
 def decider_factory(policy: str) -> DeciderFactory:
     """How a policy's deciders are made; `KeyError` where there is none of that name."""
     if policy == "oracle":
-        return lambda settings, seed, now, run, index: Oracle(settings, seed, now, run, index)
+        return lambda settings, seed, now, simulation, index: Oracle(settings, seed, now, simulation, index)
     make = BASELINES[policy]
     return lambda settings, seed, now, _run, _index: make(settings, seed, now)
 
--- a/switchhub/lab/placement.py
+++ b/switchhub/lab/placement.py
@@ -13,20 +13,25 @@
 from statistics import median
 from typing import Any
 
-TURNS = 5
-STANDING = 2000  # connections that stand meanwhile, or four for each server if that is less
+REPETITIONS = 5
+STANDING_CONNECTIONS_MAX = 2000  # connections that stand meanwhile, or four for each server if that is less
 
 
-def measure(names: Any, servers: int, rounds: int) -> float:
+def measure(former_names: Any, servers: int, rounds: int) -> float:
     """Microseconds of pick, up and end together; the median of five turns."""
-    api: Any = import_module("switchhub.decision.interface")
+    interface: Any = import_module("switchhub.decision.interface")
     facade: Any = import_module("switchhub.decision.facade")
-    scope, state = names.find_type(api, "KeyScope"), names.find_type(api, "ServerState")
-    server_list = names.find_type(facade, "ServerList")
-    list_kind = names.find_type(api, "ServerListKind")
-    kind = api.RequestClass("c", api.Repeat.SAFE, scope.ALL, 0.0, 300.0, 1500.0, 1.0, 60.0)
+    key_scope, server_state = (
+        former_names.find_type(interface, "KeyScope"),
+        former_names.find_type(interface, "ServerState"),
+    )
+    server_list = former_names.find_type(facade, "ServerList")
+    list_kind = former_names.find_type(interface, "ServerListKind")
+    request_class = interface.RequestClass(
+        "c", interface.Repeat.SAFE, key_scope.ALL, 0.0, 300.0, 1500.0, 1.0, 60.0
+    )
     values = {
-        "classes": (kind,),
+        "classes": (request_class,),
         "tenants": (),
         "fleet_size": 1,
         "zone": 0,
@@ -45,27 +50,31 @@
         "move_price": 0.0,
         "cross_zone_price": 0.0,
     }
-    settings = api.Settings(**names.rename_fields(api.Settings, "Settings", values))
+    settings = interface.Settings(**former_names.rename_fields(interface.Settings, "Settings", values))
     balancer = facade.Facade(settings, 1, 0.0)
-    named = tuple(api.Server(f"s{i}", i % 3, 0, 0, state.READY, 1.0, 0.0) for i in range(servers))
-    balancer.report(0.0, server_list(list_kind.WHOLE, named))
+    listed_servers = tuple(
+        interface.Server(f"s{i}", i % 3, 0, 0, server_state.READY, 1.0, 0.0) for i in range(servers)
+    )
+    balancer.report(0.0, server_list(list_kind.WHOLE, listed_servers))
 
     def place(number: int) -> str:
         name = f"r{number}"
-        balancer.pick(1.0, api.Request(name, 0, 1500.0, 0, 1000.0 + number % 97))
+        balancer.pick(1.0, interface.Request(name, 0, 1500.0, 0, 1000.0 + number % 97))
         balancer.report(1.0, facade.Up(name, 5.0))
         return name
 
-    standing = [place(number) for number in range(min(STANDING, 4 * servers))]
-    turns = []
-    for turn in range(TURNS):
-        begin = time.perf_counter()
+    standing = [place(number) for number in range(min(STANDING_CONNECTIONS_MAX, 4 * servers))]
+    durations_us = []
+    for repetition in range(REPETITIONS):
+        started_at = time.perf_counter()
         for number in range(rounds):
-            name = place(1_000_000 * (turn + 1) + number)
-            balancer.report(1.0, facade.Ended(standing[number % len(standing)], 5.0, api.Result.OK, True))
+            name = place(1_000_000 * (repetition + 1) + number)
+            balancer.report(
+                1.0, facade.Ended(standing[number % len(standing)], 5.0, interface.Result.OK, True)
+            )
             standing[number % len(standing)] = name
-        turns.append((time.perf_counter() - begin) / rounds * 1e6)
-    return median(turns)
+        durations_us.append((time.perf_counter() - started_at) / rounds * 1e6)
+    return median(durations_us)
 
 
 if __name__ == "__main__":
--- a/switchhub/lab/population.py
+++ b/switchhub/lab/population.py
@@ -19,7 +19,7 @@
 
     __slots__ = (
         "arrives_at",
-        "balancer",
+        "balancer_index",
         "class_index",
         "connection_id",
         "failed_tries",
@@ -54,7 +54,7 @@
         self.next_message_at = 0.0  # when its next message is due
         self.failed_tries = 0  # failed ones since it last stood
         self.connection_id = ""  # the id of its present connection
-        self.balancer = -1
+        self.balancer_index = -1
         self.is_up = self.returning = self.retried = False
         self.lines_sent = 0  # lines on the present connection
         self.wanted_messages = self.good_messages = 0
@@ -65,13 +65,13 @@
         return f"{self.index:016x}"
 
 
-def _draw(scenario: Scenario, rng: Random, client: Client) -> None:
-    kind = scenario.classes[client.class_index]
-    spread = kind.load_spread
-    client.load = kind.load * math.exp(rng.gauss(0.0, spread) - spread * spread / 2)
-    error = math.exp(rng.gauss(0.0, kind.hint_error) - kind.hint_error**2 / 2)
-    if rng.random() < kind.hinted:
-        client.hint = round(client.load * error)
+def _draw_properties(scenario: Scenario, rng: Random, client: Client) -> None:
+    client_class = scenario.classes[client.class_index]
+    load_spread = client_class.load_spread
+    client.load = client_class.load * math.exp(rng.gauss(0.0, load_spread) - load_spread * load_spread / 2)
+    hint_factor = math.exp(rng.gauss(0.0, client_class.hint_error) - client_class.hint_error**2 / 2)
+    if rng.random() < client_class.hinted:
+        client.hint = round(client.load * hint_factor)
     if len(scenario.tenants) > 1:
         client.tenant = rng.choices(range(len(scenario.tenants)), [each.share for each in scenario.tenants])[
             0
@@ -83,44 +83,46 @@
 
 def arrival_rates(scenario: Scenario) -> list[float]:
     """Arrivals a second of each class."""
-    total = sum(each.share for each in scenario.classes)
-    work = scenario.clients.load * scenario.capacity
-    return [work * each.share / total / each.load / each.life_s for each in scenario.classes]
+    total_share = sum(each.share for each in scenario.classes)
+    offered_work = scenario.clients.load * scenario.capacity
+    return [offered_work * each.share / total_share / each.load / each.life_s for each in scenario.classes]
 
 
 def initial_clients(scenario: Scenario, seed: int) -> list[Client]:
     """Those whose connections are open when the run starts; lives have no memory."""
     rng = Random(f"{seed}/standing")
-    out: list[Client] = []
-    for kind, rate in enumerate(arrival_rates(scenario)):
-        life = scenario.classes[kind].life_s
-        for _ in range(round(rate * life * scenario.clients.standing)):
-            client = Client(len(out), 0.0, rng.expovariate(1 / life), kind)
-            _draw(scenario, rng, client)
-            out.append(client)
-    return out
+    clients: list[Client] = []
+    for class_index, rate in enumerate(arrival_rates(scenario)):
+        mean_life_s = scenario.classes[class_index].life_s
+        for _ in range(round(rate * mean_life_s * scenario.clients.standing)):
+            client = Client(len(clients), 0.0, rng.expovariate(1 / mean_life_s), class_index)
+            _draw_properties(scenario, rng, client)
+            clients.append(client)
+    return clients
 
 
-def arriving_clients(scenario: Scenario, timeline: Timeline, seed: int, first: int) -> Iterator[Client]:
+def arriving_clients(scenario: Scenario, timeline: Timeline, seed: int, first_index: int) -> Iterator[Client]:
     """Those that come during the run, in order; a Poisson process for each class, thinned where surges
     end."""
     rng = Random(f"{seed}/arrivals")
-    peak = 1.0
+    peak_factor = 1.0
     for each in timeline.with_effects("surge"):
-        peak *= max(1.0, each.value)
-    each_rate = arrival_rates(scenario)
-    total = sum(each_rate) * peak
-    now, index = 0.0, first
-    if total <= 0:
+        peak_factor *= max(1.0, each.value)
+    class_rates = arrival_rates(scenario)
+    peak_rate = sum(class_rates) * peak_factor
+    now, index = 0.0, first_index
+    if peak_rate <= 0:
         return
     while True:
-        now += rng.expovariate(total)
+        now += rng.expovariate(peak_rate)
         if now >= scenario.seconds:
             return
-        kind = rng.choices(range(len(each_rate)), each_rate)[0]
-        client = Client(index, now, now + rng.expovariate(1 / scenario.classes[kind].life_s), kind)
-        _draw(scenario, rng, client)
-        if rng.random() * peak < timeline.arrival_factor(now):
+        class_index = rng.choices(range(len(class_rates)), class_rates)[0]
+        client = Client(
+            index, now, now + rng.expovariate(1 / scenario.classes[class_index].life_s), class_index
+        )
+        _draw_properties(scenario, rng, client)
+        if rng.random() * peak_factor < timeline.arrival_factor(now):
             index += 1
             yield client
 
@@ -129,24 +131,26 @@
     """What clients do after a refusal, a failure, a move or a break; drawn from one seed."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self._spec, self._classes = scenario.clients, scenario.classes
+        self._behaviour, self._classes = scenario.clients, scenario.classes
         self._rng = Random(f"{seed}/patience")
 
-    def delay_after_answer(self, client: Client, failed: bool, after_ms: float = 0.0) -> float | None:
+    def delay_after_answer(self, client: Client, failed: bool, retry_after_ms: float = 0.0) -> float | None:
         """Seconds until it tries again after a refusal or failure; none: it gives up."""
         client.failed_tries += 1
         client.retried = True
-        if client.failed_tries > self._spec.retries:
+        if client.failed_tries > self._behaviour.retries:
             return None
         if failed and self._classes[client.class_index].repeat == "unsafe":
             return None
-        wait = min(self._spec.retry_ms * 2.0 ** (client.failed_tries - 1), self._spec.retry_max_ms)
-        return max(wait * self._rng.uniform(0.5, 1.5), after_ms) / 1000
+        wait_ms = min(
+            self._behaviour.retry_ms * 2.0 ** (client.failed_tries - 1), self._behaviour.retry_max_ms
+        )
+        return max(wait_ms * self._rng.uniform(0.5, 1.5), retry_after_ms) / 1000
 
     def delay_after_disconnect(self, client: Client) -> float:
         """Seconds until a moved or cut-off client comes again."""
         client.failed_tries, client.returning, client.retried = 0, True, False
-        return self._spec.return_ms * self._rng.uniform(0.5, 1.5) / 1000
+        return self._behaviour.return_ms * self._rng.uniform(0.5, 1.5) / 1000
 
 
 class Dispatcher:
@@ -154,23 +158,23 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self._zones = len(scenario.zones)
-        self._in = [True] * scenario.balancers.count
-        self._turn = 0
+        self._is_available = [True] * scenario.balancers.count
+        self._last_balancer = 0
         self._zone_turn = 0
 
     def remove(self, balancer: int) -> None:
         """It is dealt nothing from now on."""
-        self._in[balancer] = False
+        self._is_available[balancer] = False
 
     def restore(self, balancer: int) -> None:
         """It answers again."""
-        self._in[balancer] = True
+        self._is_available[balancer] = True
 
     def next_balancer(self) -> int:
         """The balancer of the next connection; -1 where there is none."""
-        count = len(self._in)
+        count = len(self._is_available)
         for _ in range(count):
-            self._turn = (self._turn + 1) % count
-            if self._in[self._turn]:
-                return self._turn
+            self._last_balancer = (self._last_balancer + 1) % count
+            if self._is_available[self._last_balancer]:
+                return self._last_balancer
         return -1
--- a/switchhub/lab/run_statistics.py
+++ b/switchhub/lab/run_statistics.py
@@ -18,8 +18,8 @@
 
 RESULT_VERSION = 1
 SERIES_STEP_S = 0.5  # seconds of one step of the series
-FIGURES = (50.0, 90.0, 99.0, 99.9)
-TOP = 120_000_000  # microseconds: the longest time that a histogram tells apart
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
+LONGEST_DURATION_US = 120_000_000  # microseconds: the longest time that a histogram tells apart
 
 
 class DurationHistogram:
@@ -34,20 +34,20 @@
 
     def histogram(self) -> HdrHistogram:
         """All of them."""
-        out = HdrHistogram(1, TOP, 3)
+        histogram = HdrHistogram(1, LONGEST_DURATION_US, 3)
         for value, count in sorted(self._counts.items()):
-            out.record_value(min(max(value * 10, 1), TOP), count)
-        return out
+            histogram.record_value(min(max(value * 10, 1), LONGEST_DURATION_US), count)
+        return histogram
 
     def percentiles(self) -> dict[str, float]:
         """Percentiles in milliseconds."""
         histogram = self.histogram()
         if not histogram.total_count:
             return {"count": 0}
-        out: dict[str, float] = {"count": histogram.total_count}
-        for each in FIGURES:
-            out[f"p{each:g}_ms"] = round(histogram.get_value_at_percentile(each) / 1000, 3)
-        return out
+        figures: dict[str, float] = {"count": histogram.total_count}
+        for percentile in PERCENTILES:
+            figures[f"p{percentile:g}_ms"] = round(histogram.get_value_at_percentile(percentile) / 1000, 3)
+        return figures
 
 
 class RunStatistics:
@@ -64,40 +64,48 @@
         self.server_loads: dict[str, list[float]] = {}
         self.setup_times, self.message_times = DurationHistogram(), DurationHistogram()
         self.event_counts: Counter[str] = Counter()
-        self._last = steps - 1
+        self._last_step = steps - 1
 
     def step_index(self, at: float) -> int:
         """The step of the series that a moment belongs to."""
-        return min(max(int(at / SERIES_STEP_S), 0), self._last)
+        return min(max(int(at / SERIES_STEP_S), 0), self._last_step)
 
-    def count_answer(self, at: float, kind: int, word: str) -> None:
+    def count_answer(self, at: float, class_index: int, outcome: str) -> None:
         """A client has its final answer."""
-        self.answer_counts[kind][word] += 1
-        self.step_events[self.step_index(at)][f"answer.{self._scenario.classes[kind].name}.{word}"] += 1
+        self.answer_counts[class_index][outcome] += 1
+        self.step_events[self.step_index(at)][
+            f"answer.{self._scenario.classes[class_index].name}.{outcome}"
+        ] += 1
 
     def count_event(self, at: float, name: str) -> None:
         """Something that is counted, over time and in all."""
         self.event_counts[name] += 1
         self.step_events[self.step_index(at)][name] += 1
 
-    def service(self, first: float = 0.0, last: float = 1e9) -> float:
+    def service(self, start_s: float = 0.0, end_s: float = 1e9) -> float:
         """Worth of the messages well served over the worth of those that clients wanted to send; 1 if none
         were."""
-        low, high = self.step_index(first), self.step_index(last)
+        first_step, last_step = self.step_index(start_s), self.step_index(end_s)
         wanted = good = 0.0
-        for kind, worth in enumerate(self._worths):
-            wanted += worth * sum(self.wanted_messages[kind][low : high + 1])
-            good += worth * sum(self.good_messages[kind][low : high + 1])
+        for class_index, worth in enumerate(self._worths):
+            wanted += worth * sum(self.wanted_messages[class_index][first_step : last_step + 1])
+            good += worth * sum(self.good_messages[class_index][first_step : last_step + 1])
         return good / wanted if wanted else 1.0
 
     def service_series(self) -> list[float | None]:
         """Service in each step; none where nothing was wanted."""
-        out: list[float | None] = []
-        for step in range(self._last + 1):
-            wanted = sum(worth * self.wanted_messages[kind][step] for kind, worth in enumerate(self._worths))
-            good = sum(worth * self.good_messages[kind][step] for kind, worth in enumerate(self._worths))
-            out.append(round(good / wanted, 6) if wanted else None)
-        return out
+        series: list[float | None] = []
+        for step in range(self._last_step + 1):
+            wanted = sum(
+                worth * self.wanted_messages[class_index][step]
+                for class_index, worth in enumerate(self._worths)
+            )
+            good = sum(
+                worth * self.good_messages[class_index][step]
+                for class_index, worth in enumerate(self._worths)
+            )
+            series.append(round(good / wanted, 6) if wanted else None)
+        return series
 
 
 def result_data(
@@ -105,9 +113,9 @@
     seed: int,
     engine: str,
     policy: str,
-    tally: RunStatistics,
-    broken: list[Violation],
-    met: dict[str, int],
+    statistics: RunStatistics,
+    violations: list[Violation],
+    target_counts: dict[str, int],
 ) -> dict[str, Any]:
     """The run as plain data."""
     return {
@@ -116,28 +124,32 @@
         "seed": seed,
         "engine": engine,
         "policy": policy,
-        "service": round(tally.service(), 6),
+        "service": round(statistics.service(), 6),
         "by_class": {
             each.name: {
-                "wanted": sum(tally.wanted_messages[kind]),
-                "good": sum(tally.good_messages[kind]),
-                "answers": dict(sorted(tally.answer_counts[kind].items())),
+                "wanted": sum(statistics.wanted_messages[class_index]),
+                "good": sum(statistics.good_messages[class_index]),
+                "answers": dict(sorted(statistics.answer_counts[class_index].items())),
             }
-            for kind, each in enumerate(scenario.classes)
+            for class_index, each in enumerate(scenario.classes)
         },
-        "setup": tally.setup_times.percentiles(),
-        "message": tally.message_times.percentiles(),
-        "counts": dict(sorted(tally.event_counts.items())),
+        "setup": statistics.setup_times.percentiles(),
+        "message": statistics.message_times.percentiles(),
+        "counts": dict(sorted(statistics.event_counts.items())),
         "troubles": [
-            {**each.model_dump(include={"name", "kind", "at_s", "seconds"}), "meets": met.get(each.name, 0)}
+            {
+                **each.model_dump(include={"name", "kind", "at_s", "seconds"}),
+                "meets": target_counts.get(each.name, 0),
+            }
             for each in scenario.troubles
         ],
         "series": {
             "step_s": SERIES_STEP_S,
-            "service": tally.service_series(),
-            "events": [dict(sorted(each.items())) for each in tally.step_events],
+            "service": statistics.service_series(),
+            "events": [dict(sorted(each.items())) for each in statistics.step_events],
             "loads": {
-                name: [round(each, 4) for each in loads] for name, loads in sorted(tally.server_loads.items())
+                name: [round(each, 4) for each in loads]
+                for name, loads in sorted(statistics.server_loads.items())
             },
         },
         "broken": [
@@ -148,7 +160,7 @@
                 "text": each.text,
                 "story": each.history,
             }
-            for each in broken
+            for each in violations
         ],
     }
 
--- a/switchhub/lab/scenario.py
+++ b/switchhub/lab/scenario.py
@@ -16,18 +16,18 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-SERVERS_MAX, BALANCERS_MAX, STANDING_MAX = 20_000, 2_000, 2_000_000
+SERVERS_MAX, BALANCERS_MAX, STANDING_CONNECTIONS_MAX = 20_000, 2_000, 2_000_000
 CORE_WORK_PER_S = 1_000_000.0  # microseconds of work that a standard core does in a second
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,39}$")]
-Part = Annotated[float, Field(ge=0.0, le=1.0, allow_inf_nan=False)]
+Fraction = Annotated[float, Field(ge=0.0, le=1.0, allow_inf_nan=False)]
 Seconds = Annotated[float, Field(ge=0.0, le=86_400.0, allow_inf_nan=False)]
-Positive = Annotated[float, Field(gt=0.0, le=86_400.0, allow_inf_nan=False)]
-Millis = Annotated[float, Field(ge=0.0, le=600_000.0, allow_inf_nan=False)]
-Factor = Annotated[float, Field(ge=0.0, le=1000.0, allow_inf_nan=False)]
+PositiveSeconds = Annotated[float, Field(gt=0.0, le=86_400.0, allow_inf_nan=False)]
+Milliseconds = Annotated[float, Field(ge=0.0, le=600_000.0, allow_inf_nan=False)]
+Multiplier = Annotated[float, Field(ge=0.0, le=1000.0, allow_inf_nan=False)]
 
 SERVER_TROUBLES = ("die", "hang", "slow", "errors", "full", "noisy", "drain", "rolling")
-ROSTER_TROUBLES = ("roster-out", "roster-silent", "roster-stale", "roster-lying")
+DISCOVERY_TROUBLES = ("roster-out", "roster-silent", "roster-stale", "roster-lying")
 BALANCER_TROUBLES = ("balancer-die", "balancer-restart", "balancer-reload")
 OTHER_TROUBLES = ("zone-cut", "surge", "drop")
 
@@ -40,11 +40,11 @@
         self.problems = problems
 
 
-class _Part(BaseModel):
+class _ScenarioModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class ServerGroup(_Part):
+class ServerGroup(_ScenarioModel):
     """Servers of one make, spread over the zones in turn unless one is named."""
 
     name: Name
@@ -54,24 +54,24 @@
     cells: int = Field(default=1, ge=1, le=1000)
     cores: float = Field(default=1.0, gt=0, le=1024, allow_inf_nan=False)
     speed: float = Field(default=1.0, gt=0, le=100, allow_inf_nan=False)
-    message_ms: Millis = 2.0
+    message_ms: Milliseconds = 2.0
     """What a message takes on an idle server."""
-    setup_work_ms: Millis = 2.0
+    setup_work_ms: Milliseconds = 2.0
     """Work that a set-up costs."""
     connections: int = Field(default=100_000, ge=1)
     """How many it holds; beyond that it answers `BUSY`."""
 
 
-class ColdStart(_Part):
+class ColdStart(_ScenarioModel):
     """A server that has just started: its part of speed grows from `share` to 1, and it may fall over."""
 
-    seconds: Positive = 8.0
+    seconds: PositiveSeconds = 8.0
     share: float = Field(default=0.3, gt=0, le=1, allow_inf_nan=False)
     fall_multiple: float = Field(default=2.5, gt=0, le=100, allow_inf_nan=False)
-    fall_s: Positive = 2.0
+    fall_s: PositiveSeconds = 2.0
 
 
-class DiscoverySpec(_Part):
+class DiscoverySpec(_ScenarioModel):
     """When discovery learns of what happens, and how it tells."""
 
     delay_s: Seconds = 0.3
@@ -80,10 +80,10 @@
     whole: bool = False
     """Tells whole lists only, never changes."""
     calls_per_s: float = Field(default=10_000.0, gt=0, le=1e6, allow_inf_nan=False)
-    ask_within_s: Positive = 10.0
+    ask_within_s: PositiveSeconds = 10.0
 
 
-class ConnectionClass(_Part):
+class ConnectionClass(_ScenarioModel):
     """A class of connections. Loads are drawn from a lognormal with this mean and spread, lives are
     exponential."""
 
@@ -92,7 +92,7 @@
     """Its part of the offered work, relative to the other classes."""
     repeat: Literal["safe", "keyed", "unsafe"] = "safe"
     scope: Literal["all", "zone", "cell"] = "all"
-    window_ms: Millis = 5000.0
+    window_ms: Milliseconds = 5000.0
     deadline_ms: Annotated[float, Field(ge=20.0, le=60_000.0, allow_inf_nan=False)] = 1500.0
     setup_aim_ms: Annotated[float, Field(gt=0.0, le=60_000.0)] = 300.0
     message_aim_ms: Annotated[float, Field(gt=0.0, le=60_000.0)] = 60.0
@@ -101,12 +101,12 @@
     load_spread: float = Field(default=0.5, ge=0, le=3, allow_inf_nan=False)
     hint_error: float = Field(default=0.3, ge=0, le=3, allow_inf_nan=False)
     """Spread of the lognormal factor between the load and its hint."""
-    hinted: Part = 1.0
+    hinted: Fraction = 1.0
     """The part of connections that carry a hint."""
-    life_s: Positive = 20.0
+    life_s: PositiveSeconds = 20.0
 
 
-class Tenant(_Part):
+class Tenant(_ScenarioModel):
     """A customer; `share` is its part of the arrivals, `connections` what all balancers may hold for it."""
 
     name: Name
@@ -114,32 +114,32 @@
     connections: float | None = Field(default=None, gt=0)
 
 
-class Clients(_Part):
+class Clients(_ScenarioModel):
     """Open-loop arrivals, and what a client does when it is refused, fails, is moved or cut off."""
 
-    load: Factor = 0.7
+    load: Multiplier = 0.7
     """Offered work as a part of what all sound servers do."""
     message_every_s: Annotated[float, Field(ge=0.05, le=3600.0)] = 1.0
     retries: int = Field(default=6, ge=0, le=1000)
-    retry_ms: Millis = 500.0
+    retry_ms: Milliseconds = 500.0
     """The first wait; it doubles with each further one."""
-    retry_max_ms: Millis = 8000.0
-    return_ms: Millis = 300.0
+    retry_max_ms: Milliseconds = 8000.0
+    return_ms: Milliseconds = 300.0
     """Until a moved or cut-off client comes again."""
-    standing: Part = 1.0
+    standing: Fraction = 1.0
     """The part of the connections of a steady state that are open at the start."""
     groups: int = Field(default=0, ge=0, le=1_000_000)
     marks_retries: bool = True
 
 
-class Network(_Part):
+class Network(_ScenarioModel):
     """Delays between and within zones, one way."""
 
-    within_ms: Millis = 0.2
-    between_ms: Millis = 2.0
+    within_ms: Milliseconds = 0.2
+    between_ms: Milliseconds = 2.0
 
 
-class Balancers(_Part):
+class Balancers(_ScenarioModel):
     """The fleet, spread over the zones in turn."""
 
     count: int = Field(default=3, ge=1, le=BALANCERS_MAX)
@@ -147,12 +147,12 @@
     attempts: int = Field(default=4, ge=1, le=100)
     front_notice_s: Seconds = 2.0
     """Until the front knows that a balancer has died."""
-    retry_after_ms: Millis = 0.0
+    retry_after_ms: Milliseconds = 0.0
     """The longest wait that a refusal names; 0: it names none."""
     sockets: int = Field(default=8192, ge=64, le=1_000_000)
 
 
-class Trouble(_Part):
+class Trouble(_ScenarioModel):
     """One trouble: its name and kind, when it starts, how long it lasts, and whom it meets."""
 
     name: Name
@@ -180,9 +180,9 @@
     seconds: Seconds = 0.0
     meets: tuple[str, ...] = ("*",)
     """Patterns on the names of servers, balancers or zones."""
-    part: Part = 1.0
+    part: Fraction = 1.0
     """The part of those that match, drawn by the scenario's seed; of clients for `drop`."""
-    value: Factor = 1.0
+    value: Multiplier = 1.0
     """slow: times slower. errors: part of set-ups. noisy: cores taken. surge: times the arrivals."""
     drain_s: Seconds = 3.0
     """drain and rolling: how long a server finishes what it has."""
@@ -192,14 +192,14 @@
     """rolling, balancer-restart: until it is back."""
 
 
-class Scenario(_Part):
+class Scenario(_ScenarioModel):
     """All of one scenario."""
 
     name: Name
     shows: str = Field(min_length=10, max_length=400)
     seconds: Annotated[float, Field(gt=0, le=3600, allow_inf_nan=False)] = 30.0
     zones: tuple[Name, ...] = Field(default=("a",), min_length=1, max_length=50)
-    grace_ms: Millis = 2000.0
+    grace_ms: Milliseconds = 2000.0
     balancers: Balancers = Balancers()
     servers: tuple[ServerGroup, ...] = Field(min_length=1)
     cold: ColdStart = ColdStart()
@@ -211,10 +211,10 @@
     troubles: tuple[Trouble, ...] = ()
 
     @model_validator(mode="after")
-    def _whole(self) -> Scenario:
-        faults = list(_cross_checks(self))
-        if faults:
-            raise ScenarioError(faults)
+    def _check_consistency(self) -> Scenario:
+        problems = list(_find_inconsistencies(self))
+        if problems:
+            raise ScenarioError(problems)
         return self
 
     @property
@@ -225,9 +225,9 @@
     @property
     def standing_connections(self) -> int:
         """Connections that a steady state holds."""
-        total = sum(each.share for each in self.classes)
-        work = self.clients.load * self.capacity
-        return round(sum(work * each.share / total / each.load for each in self.classes))
+        total_share = sum(each.share for each in self.classes)
+        offered_work = self.clients.load * self.capacity
+        return round(sum(offered_work * each.share / total_share / each.load for each in self.classes))
 
     def server_names(self) -> list[str]:
         """Every server, in order."""
@@ -252,40 +252,41 @@
     return [name for name in names if any(fnmatch.fnmatchcase(name, pattern) for pattern in patterns)]
 
 
-def _cross_checks(scenario: Scenario) -> list[str]:
-    faults: list[str] = []
+def _find_inconsistencies(scenario: Scenario) -> list[str]:
+    problems: list[str] = []
     for path in ("servers", "classes", "tenants", "troubles"):
         names = [each.name for each in getattr(scenario, path)]
         for index, name in enumerate(names):
             if name in names[:index]:
-                faults.append(f"{path}.{index}.name: {name!r} is taken")
+                problems.append(f"{path}.{index}.name: {name!r} is taken")
     if len(set(scenario.zones)) < len(scenario.zones):
-        faults.append("zones: a zone is named twice")
+        problems.append("zones: a zone is named twice")
     for index, group in enumerate(scenario.servers):
         if group.zone is not None and group.zone not in scenario.zones:
-            faults.append(f"servers.{index}.zone: no zone {group.zone!r} in zones")
+            problems.append(f"servers.{index}.zone: no zone {group.zone!r} in zones")
     if sum(each.count for each in scenario.servers) > SERVERS_MAX:
-        faults.append(f"servers: more than {SERVERS_MAX} in all")
-    if scenario.standing_connections > STANDING_MAX:
-        faults.append(
-            f"clients.load: {scenario.standing_connections} standing connections, {STANDING_MAX} at most"
+        problems.append(f"servers: more than {SERVERS_MAX} in all")
+    if scenario.standing_connections > STANDING_CONNECTIONS_MAX:
+        problems.append(
+            f"clients.load: {scenario.standing_connections} standing connections, "
+            f"{STANDING_CONNECTIONS_MAX} at most"
         )
     for index, each in enumerate(scenario.troubles):
-        where = f"troubles.{index}"
+        key = f"troubles.{index}"
         if each.at_s > scenario.seconds:
-            faults.append(f"{where}.at_s: {each.at_s} is after the scenario's end at {scenario.seconds}")
+            problems.append(f"{key}.at_s: {each.at_s} is after the scenario's end at {scenario.seconds}")
         names = possible_targets(scenario, each)
         for pattern in each.meets if names else ():
             if not matching_names(names, (pattern,)):
-                faults.append(f"{where}.meets: {pattern!r} fits none of {names[0]} to {names[-1]}")
+                problems.append(f"{key}.meets: {pattern!r} fits none of {names[0]} to {names[-1]}")
         if each.kind == "errors" and each.value > 1:
-            faults.append(f"{where}.value: a part of set-ups, 0 to 1, not {each.value}")
+            problems.append(f"{key}.value: a part of set-ups, 0 to 1, not {each.value}")
         if each.kind == "slow" and each.value <= 0:
-            faults.append(f"{where}.value: times slower, more than 0")
-    return faults
+            problems.append(f"{key}.value: times slower, more than 0")
+    return problems
 
 
-def _path(location: tuple[int | str, ...]) -> str:
+def _key_path(location: tuple[int | str, ...]) -> str:
     return ".".join(str(each) for each in location) or "(file)"
 
 
@@ -294,17 +295,17 @@
     try:
         return Scenario.model_validate(data)
     except ValidationError as error:
-        faults = []
+        problems = []
         for each in error.errors(include_url=False):
             cause = each.get("ctx", {}).get("error")
             if isinstance(cause, ScenarioError):
-                faults += cause.problems
+                problems += cause.problems
             else:
-                faults.append(f"{_path(each['loc'])}: {each['msg']}, not {_short(each['input'])}")
-        raise ScenarioError(faults) from None
+                problems.append(f"{_key_path(each['loc'])}: {each['msg']}, not {_shorten(each['input'])}")
+        raise ScenarioError(problems) from None
 
 
-def _short(value: Any) -> str:
+def _shorten(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
@@ -316,4 +317,4 @@
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ScenarioError([f"{path}: {error}"]) from None
     except ScenarioError as error:
-        raise ScenarioError([f"{path}: {fault}" for fault in error.problems]) from None
+        raise ScenarioError([f"{path}: {problem}" for problem in error.problems]) from None
--- a/switchhub/lab/timeline.py
+++ b/switchhub/lab/timeline.py
@@ -80,43 +80,45 @@
         return factor
 
 
-def _met(scenario: Scenario, trouble: Trouble, rng: Random) -> list[str]:
+def _choose_targets(scenario: Scenario, trouble: Trouble, rng: Random) -> list[str]:
     names = matching_names(possible_targets(scenario, trouble), trouble.meets)
     count = round(trouble.part * len(names))
     chosen = set(rng.sample(names, count))
     return [name for name in names if name in chosen]
 
 
-def _expand(scenario: Scenario, trouble: Trouble, rng: Random) -> list[Interval]:
+def _expand_trouble(scenario: Scenario, trouble: Trouble, rng: Random) -> list[Interval]:
     start = trouble.at_s
     end = start + trouble.seconds if trouble.seconds else FOREVER
     name, kind = trouble.name, trouble.kind
     if kind.startswith("roster-") or kind in ("surge", "drop"):
         value = trouble.part if kind == "drop" else trouble.value
         return [Interval(start, start if kind == "drop" else end, kind, "", value, name)]
-    met = _met(scenario, trouble, rng)
-    out: list[Interval] = []
-    for index, each in enumerate(met):
-        begin = start + index * trouble.stride_s
+    target_names = _choose_targets(scenario, trouble, rng)
+    intervals: list[Interval] = []
+    for index, each in enumerate(target_names):
+        starts_at = start + index * trouble.stride_s
         if kind in ("rolling", "drain"):
-            gone = begin + trouble.drain_s
-            back = gone + trouble.down_s if kind == "rolling" else end
-            out.append(Interval(begin, gone, "drain", each, 0.0, name))
-            out.append(Interval(gone, max(back, gone), "die", each, 1.0, name))
+            stops_at = starts_at + trouble.drain_s
+            returns_at = stops_at + trouble.down_s if kind == "rolling" else end
+            intervals.append(Interval(starts_at, stops_at, "drain", each, 0.0, name))
+            intervals.append(Interval(stops_at, max(returns_at, stops_at), "die", each, 1.0, name))
         elif kind == "balancer-restart":
-            out.append(Interval(begin, begin + trouble.down_s, "balancer-restart", each, 0.0, name))
+            intervals.append(
+                Interval(starts_at, starts_at + trouble.down_s, "balancer-restart", each, 0.0, name)
+            )
         elif kind == "balancer-reload":
-            out.append(Interval(begin, begin, kind, each, 0.0, name))
+            intervals.append(Interval(starts_at, starts_at, kind, each, 0.0, name))
         else:
-            out.append(Interval(start, end, kind, each, trouble.value, name))
-    return out
+            intervals.append(Interval(start, end, kind, each, trouble.value, name))
+    return intervals
 
 
 def expand_troubles(scenario: Scenario, seed: int) -> Timeline:
     """All intervals of a scenario; whom a part of the targets is, the seed decides."""
     intervals: list[Interval] = []
     for trouble in scenario.troubles:
-        intervals += _expand(scenario, trouble, Random(f"{seed}/trouble/{trouble.name}"))
+        intervals += _expand_trouble(scenario, trouble, Random(f"{seed}/trouble/{trouble.name}"))
     return Timeline(intervals, scenario.seconds)
 
 
@@ -136,33 +138,35 @@
 
 def discovery_updates(scenario: Scenario, timeline: Timeline) -> list[DiscoveryUpdate]:
     """What discovery comes to know, in order. A lying roster names the dead as ready."""
-    delay, notice = scenario.discovery.delay_s, scenario.discovery.notice_s
-    out: list[DiscoveryUpdate] = []
+    delay_s, notice_s = scenario.discovery.delay_s, scenario.discovery.notice_s
+    updates: list[DiscoveryUpdate] = []
     for server in scenario.server_names():
         spans = downtimes(timeline, server)
         for each in timeline.with_effects("drain"):
             if each.target == server:
-                out.append(DiscoveryUpdate(each.start + delay, server, "Terminating", 0.0))
+                updates.append(DiscoveryUpdate(each.start + delay_s, server, "Terminating", 0.0))
         for start, end in spans:
-            planned = any(
+            was_draining = any(
                 each.end == start for each in timeline.with_effects("drain") if each.target == server
             )
-            known = start + (delay if planned else notice)
-            lies = any(each.start <= known < each.end for each in timeline.with_effects("roster-lying"))
-            if known < end + delay and not lies:
-                out.append(DiscoveryUpdate(known, server, "Gone", 0.0))
+            known_at = start + (delay_s if was_draining else notice_s)
+            hides_death = any(
+                each.start <= known_at < each.end for each in timeline.with_effects("roster-lying")
+            )
+            if known_at < end + delay_s and not hides_death:
+                updates.append(DiscoveryUpdate(known_at, server, "Gone", 0.0))
             if end < FOREVER:
-                out.append(DiscoveryUpdate(end + delay, server, "Ready", end))
-    return sorted(out)
+                updates.append(DiscoveryUpdate(end + delay_s, server, "Ready", end))
+    return sorted(updates)
 
 
 def count_targets(scenario: Scenario, timeline: Timeline) -> dict[str, int]:
     """How many targets each trouble meets, for the results; 0 is allowed and said."""
-    met = {each.name: 0 for each in scenario.troubles}
+    counts = {each.name: 0 for each in scenario.troubles}
     for each in scenario.troubles:
-        own = {one.target for one in timeline.intervals if one.trouble == each.name}
-        met[each.name] = len(own)
-    return met
+        target_names = {interval.target for interval in timeline.intervals if interval.trouble == each.name}
+        counts[each.name] = len(target_names)
+    return counts
 
 
 __all__ = [
--- a/switchhub/lab/virtual_network.py
+++ b/switchhub/lab/virtual_network.py
@@ -14,8 +14,8 @@
 from switchhub.membership.messages import FullState
 from switchhub.peers.codec import MAX_DATAGRAM_BYTES, pack
 
-LATENCY = 0.0005  # seconds one way at the median
-CONNECT = 3  # ways that a connection costs
+MEDIAN_LATENCY_S = 0.0005  # seconds one way at the median
+CONNECTION_TRIPS = 3  # ways that a connection costs
 
 
 class Node(Protocol):
@@ -52,70 +52,78 @@
         self.nodes: dict[str, NodeT] = {}
         self._paused_until: dict[str, float] = {}  # until when one stands still
         self._heap: list[tuple[float, int, str, str, Any]] = []
-        self._order = 0
+        self._event_count = 0
         self._wakeups: dict[str, float] = {}
 
     def local_time(self, key: str) -> float:
         """The time by its clock."""
         return self.now * self.clock_rates.get(key, 1.0)
 
-    def _schedule(self, delay: float, to: str, sender: str, message: Any) -> None:
-        self._order += 1
-        heapq.heappush(self._heap, (self.now + delay, self._order, to, sender, message))
+    def _schedule(self, delay: float, recipient: str, sender: str, message: Any) -> None:
+        self._event_count += 1
+        heapq.heappush(self._heap, (self.now + delay, self._event_count, recipient, sender, message))
 
     def _node_changed(self, key: str) -> None:
         """A part has heard something or done what was due."""
 
     def _process_output(self, key: str) -> None:
         """What a part has to say, and when it is to be woken."""
-        part = self.nodes[key]
-        out = part.out[:]
-        part.out.clear()
+        node = self.nodes[key]
+        out = node.out[:]
+        node.out.clear()
         for address, message in out:
-            to = address.removeprefix("a-")
+            recipient = address.removeprefix("a-")
             size = len(pack("lab", message))
             if isinstance(message, FullState):
                 self.full_state_bytes += size
-                ways = CONNECT
+                trips = CONNECTION_TRIPS
             else:
                 assert size <= MAX_DATAGRAM_BYTES, (size, message)
                 self.datagrams_sent += 1
                 self.datagram_bytes += size
-                ways = 1
+                trips = 1
                 if self.rng.random() < self.loss:
                     continue
-            if self.is_cut(key, to) or (ways > 1 and self.is_cut(to, key)) or to in self.down:
+            if (
+                self.is_cut(key, recipient)
+                or (trips > 1 and self.is_cut(recipient, key))
+                or recipient in self.down
+            ):
                 continue
-            self._schedule(ways * LATENCY * self.rng.lognormvariate(0.0, 0.5), to, key, message)
+            self._schedule(
+                trips * MEDIAN_LATENCY_S * self.rng.lognormvariate(0.0, 0.5), recipient, key, message
+            )
         self._node_changed(key)
-        due = part.deadline() / self.clock_rates.get(key, 1.0)
-        if self._wakeups.get(key) != due:
-            self._wakeups[key] = due
-            if due < float("inf"):
-                self._schedule(max(0.0, due - self.now) + 1e-6, key, "", None)
+        wake_at = node.deadline() / self.clock_rates.get(key, 1.0)
+        if self._wakeups.get(key) != wake_at:
+            self._wakeups[key] = wake_at
+            if wake_at < float("inf"):
+                self._schedule(max(0.0, wake_at - self.now) + 1e-6, key, "", None)
 
     def run_until(self, until: float) -> None:
         """Let it pass."""
         while self._heap and self._heap[0][0] <= until:
-            self.now, order, to, sender, message = heapq.heappop(self._heap)
+            self.now, order, recipient, sender, message = heapq.heappop(self._heap)
             if sender == "!slow":
-                stands = self.rng.random() * self.stall_max_s
-                self._paused_until[to] = self.now + stands
-                self._schedule(stands + self.rng.random() * 3, to, sender, None)
+                pause_s = self.rng.random() * self.stall_max_s
+                self._paused_until[recipient] = self.now + pause_s
+                self._schedule(pause_s + self.rng.random() * 3, recipient, sender, None)
                 continue
-            if to in self.down or to not in self.nodes:
+            if recipient in self.down or recipient not in self.nodes:
                 continue
-            if (free := self._paused_until.get(to, 0.0)) > self.now:  # it reads when it goes on, in order
-                heapq.heappush(self._heap, (free, order, to, sender, message))
+            if (
+                resumes_at := self._paused_until.get(recipient, 0.0)
+            ) > self.now:  # it reads when it goes on, in order
+                heapq.heappush(self._heap, (resumes_at, order, recipient, sender, message))
                 continue
-            part = self.nodes[to]
+            node = self.nodes[recipient]
             if message is None:
-                if self._wakeups.get(to, -1.0) > self.now:
+                if self._wakeups.get(recipient, -1.0) > self.now:
                     continue
-                part.turn(self.local_time(to))
+                node.turn(self.local_time(recipient))
             else:
-                part.receive(self.local_time(to), message)
-            self._process_output(to)
+                node.receive(self.local_time(recipient), message)
+            self._process_output(recipient)
         self.now = until
 
     def kill(self, *keys: str) -> None:
--- a/tests/lab/mutants.py
+++ b/tests/lab/mutants.py
@@ -10,32 +10,32 @@
 
 
 class AnswersTwice(SimulatedBalancer):
-    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
-        super().send_answer(conn, line)
-        super().send_answer(conn, line)
+    def send_answer(self, connection: SimulatedConnection, line: str) -> None:
+        super().send_answer(connection, line)
+        super().send_answer(connection, line)
 
 
 class AnswersNever(SimulatedBalancer):
-    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
-        if conn.client.index % 50:
-            super().send_answer(conn, line)
+    def send_answer(self, connection: SimulatedConnection, line: str) -> None:
+        if connection.client.index % 50:
+            super().send_answer(connection, line)
 
 
 class AnswersLate(SimulatedBalancer):
-    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
-        late = 1.52 if conn.client.index % 50 == 0 else 0.0
+    def send_answer(self, connection: SimulatedConnection, line: str) -> None:
+        extra_delay_s = 1.52 if connection.client.index % 50 == 0 else 0.0
         self.simulation.schedule(
-            self.simulation.now + self.simulation.zone_delay + late,
+            self.simulation.now + self.simulation.zone_delay + extra_delay_s,
             self.simulation.deliver_answer,
             self,
-            conn,
+            connection,
             line,
         )
 
 
 class Forges(SimulatedBalancer):
-    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
-        super().send_answer(conn, "UP made-up" if line.startswith("UP") else line)
+    def send_answer(self, connection: SimulatedConnection, line: str) -> None:
+        super().send_answer(connection, "UP made-up" if line.startswith("UP") else line)
 
 
 class PassesOverDrains(SimulatedBalancer):
@@ -67,37 +67,39 @@
 class RepeatsWhatMayHaveRun(SimulatedBalancer):
     """After an error it tries the next server by itself."""
 
-    def repeat_on_next_server(self, conn: SimulatedConnection) -> None:
+    def repeat_on_next_server(self, connection: SimulatedConnection) -> None:
         names = sorted(self.ready_servers)
-        self.start_attempt(conn, names[(names.index(conn.server) + 1) % len(names)], 0.5)
+        self.start_attempt(connection, names[(names.index(connection.server) + 1) % len(names)], 0.5)
 
-    def place_connection(self, conn: SimulatedConnection) -> None:
-        if conn.attempt and conn.server in self.ready_servers:
-            return self.repeat_on_next_server(conn)
-        super().place_connection(conn)
+    def place_connection(self, connection: SimulatedConnection) -> None:
+        if connection.attempt and connection.server in self.ready_servers:
+            return self.repeat_on_next_server(connection)
+        super().place_connection(connection)
 
 
 class TriesTwoAtOnce(SimulatedBalancer):
-    def write_first_line(self, conn: SimulatedConnection, token: int, timeout: float) -> None:
+    def write_first_line(self, connection: SimulatedConnection, attempt: int, timeout: float) -> None:
         names = sorted(self.ready_servers)
-        other = SimulatedConnection(conn.id, conn.client, conn.request)
-        other.server, other.attempt = names[0] if conn.server != names[0] else names[1], token
-        self.simulation.schedule(self.simulation.now, self.simulation.deliver_first_line, self, other, token)
-        super().write_first_line(conn, token, timeout)
+        other = SimulatedConnection(connection.id, connection.client, connection.request)
+        other.server, other.attempt = names[0] if connection.server != names[0] else names[1], attempt
+        self.simulation.schedule(
+            self.simulation.now, self.simulation.deliver_first_line, self, other, attempt
+        )
+        super().write_first_line(connection, attempt, timeout)
 
 
 class RefusesForFailures(SimulatedBalancer):
-    def send_answer(self, conn: SimulatedConnection, line: str) -> None:
-        super().send_answer(conn, "BUSY" if line == "FAILED" else line)
+    def send_answer(self, connection: SimulatedConnection, line: str) -> None:
+        super().send_answer(connection, "BUSY" if line == "FAILED" else line)
 
 
 class LosesLines(SimulatedBalancer):
-    def lines_to_server(self, conn: SimulatedConnection, number: int) -> Iterable[int]:
+    def lines_to_server(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
         return () if number == 3 else (number,)
 
 
 class RepeatsLines(SimulatedBalancer):
-    def lines_to_client(self, conn: SimulatedConnection, number: int) -> Iterable[int]:
+    def lines_to_client(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
         return (number, number) if number == 3 else (number,)
 
 
@@ -105,9 +107,9 @@
     """Ends connections without a word instead of moving them."""
 
     def move_client(self, name: str, result: object = None) -> None:
-        conn = self.connections.get(name)
-        if conn is not None and conn.is_up:
-            self.simulation._deliver_reset(self, conn)
+        connection = self.connections.get(name)
+        if connection is not None and connection.is_up:
+            self.simulation._deliver_reset(self, connection)
 
 
 # Which mutant must be caught in which scenario of `small.py`, and what the break is called.
--- a/tests/lab/small_scenarios.py
+++ b/tests/lab/small_scenarios.py
@@ -8,7 +8,7 @@
 
 
 def scenario_data(**changes: Any) -> dict[str, Any]:
-    told: dict[str, Any] = {
+    values: dict[str, Any] = {
         "name": "small",
         "shows": "a small fleet for the tests",
         "seconds": 8.0,
@@ -18,12 +18,12 @@
         "servers": [{"name": "s", "count": 4, "cells": 2}],
         "classes": [{"name": "any", "load": 20000.0, "life_s": 5.0}],
     }
-    told.update(changes)
-    return told
+    values.update(changes)
+    return values
 
 
-def trouble_data(kind: str, at: float, **more: Any) -> dict[str, Any]:
-    return {"name": f"{kind}-{at:g}", "kind": kind, "at_s": at, **more}
+def trouble_data(kind: str, at: float, **fields: Any) -> dict[str, Any]:
+    return {"name": f"{kind}-{at:g}", "kind": kind, "at_s": at, **fields}
 
 
 SMALL_SCENARIOS: dict[str, dict[str, Any]] = {
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -21,13 +21,13 @@
 
 
 def service(scenario: Scenario, policy: str = "design", seed: int = 1) -> float:
-    found = run_job(Job(scenario, seed, policy))
-    assert not found["broken"] or policy != "design"
-    return float(found["service"])
+    result = run_job(Job(scenario, seed, policy))
+    assert not result["broken"] or policy != "design"
+    return float(result["service"])
 
 
 def test_bytes_do_not_depend_on_hashes_or_workers(tmp_path: Path) -> None:
-    written = []
+    outputs = []
     for seed in ("0", "1"):
         out = tmp_path / f"{seed}.json"
         subprocess.run(
@@ -37,8 +37,8 @@
             check=True,
             capture_output=True,
         )
-        written.append(out.read_bytes())
-    assert written[0] == written[1]
+        outputs.append(out.read_bytes())
+    assert outputs[0] == outputs[1]
     jobs = [Job(small_scenario("cold"), seed, policy) for seed in (1, 2) for policy in ("design", "oracle")]
     assert [dump_json(each) for each in run_jobs(jobs, 1)] == [dump_json(each) for each in run_jobs(jobs, 3)]
 
@@ -49,9 +49,9 @@
 
 
 def test_overload_from_the_start_is_refused_in_part_and_the_rest_served() -> None:
-    heavy = small_scenario("calm", clients={"load": 2.0, "retries": 1, "standing": 0.4}, seconds=15.0)
-    assert 0.3 < service(heavy) < 0.8
-    assert service(heavy, "plain") < service(heavy) < service(heavy, "oracle") + 0.05
+    overloaded = small_scenario("calm", clients={"load": 2.0, "retries": 1, "standing": 0.4}, seconds=15.0)
+    assert 0.3 < service(overloaded) < 0.8
+    assert service(overloaded, "plain") < service(overloaded) < service(overloaded, "oracle") + 0.05
 
 
 def test_hung_servers_cost_a_second_not_the_run() -> None:
@@ -66,8 +66,8 @@
 
 
 def test_a_server_that_falls_stays_down() -> None:
-    found = run_job(Job(small_scenario("cold"), 1, "plain"))
-    assert found["counts"]["servers.fallen"] == len(found["broken"]) > 0
+    result = run_job(Job(small_scenario("cold"), 1, "plain"))
+    assert result["counts"]["servers.fallen"] == len(result["broken"]) > 0
 
 
 def test_balancers_die_and_return_and_all_is_served_again() -> None:
@@ -75,21 +75,21 @@
         trouble_data("balancer-die", 1.0, seconds=1.5, meets=["b0"]),
         trouble_data("balancer-restart", 4.0, meets=["b1"]),
     ]
-    found = run_job(Job(small_scenario("calm", troubles=troubles, seconds=14.0), 1))
-    assert not found["broken"]
-    assert found["counts"]["clients.broken"] > 5 and found["counts"]["clients.moved"] > 5
-    assert min(each for each in found["series"]["service"][-7:-1] if each is not None) > 0.95
+    result = run_job(Job(small_scenario("calm", troubles=troubles, seconds=14.0), 1))
+    assert not result["broken"]
+    assert result["counts"]["clients.broken"] > 5 and result["counts"]["clients.moved"] > 5
+    assert min(each for each in result["series"]["service"][-7:-1] if each is not None) > 0.95
 
 
 def test_a_comparison_says_what_is_shown_and_what_is_not() -> None:
     hung = small_scenario("calm", troubles=[trouble_data("hang", 2.0, meets=["s-0"])])
     left = run_jobs([Job(hung, seed, "random") for seed in range(4)], 1)
     right = run_jobs([Job(hung, seed, "design") for seed in range(4)], 1)
-    found = compare_runs("random", "design", left, right)
-    assert found["shown"] and found["low"] > 0
-    same = compare_runs("design", "design", right, right)
-    assert not same["shown"]
-    assert "no difference shown" in format_comparison(same)
+    result = compare_runs("random", "design", left, right)
+    assert result["shown"] and result["low"] > 0
+    unchanged = compare_runs("design", "design", right, right)
+    assert not unchanged["shown"]
+    assert "no difference shown" in format_comparison(unchanged)
     assert "no difference shown" in format_comparison(compare_runs("a", "b", left[:1], right[:1]))
     text = format_table(summarize(left + right), ["design", "random"])
     assert "small" in text and "largest gaps" in text
@@ -107,13 +107,15 @@
         "heavy = ('switchhub.lab', 'switchhub.cli', 'pydantic', 'rich', 'numpy', 'scipy', 'hdrh')\n"
         "print([name for name in sys.modules if name.startswith(heavy)])"
     )
-    found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert found.stdout.strip() == "[]"
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert result.stdout.strip() == "[]"
 
 
 def test_drains_told_while_first_lines_are_under_way_are_kept() -> None:
     far = {"within_ms": 120.0, "between_ms": 120.0}
     rolling = [trouble_data("rolling", 1.0, stride_s=2.5, drain_s=3.0, down_s=1.0)]
-    found = run_job(Job(small_scenario("cold", network=far, troubles=rolling), 1))
-    assert not found["broken"]
-    assert found["counts"]["attempt.not_sent"] > 0 and found["counts"]["attempt.full"] > 0
+    result = run_job(Job(small_scenario("cold", network=far, troubles=rolling), 1))
+    assert not result["broken"]
+    assert result["counts"]["attempt.not_sent"] > 0 and result["counts"]["attempt.full"] > 0
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -36,27 +36,27 @@
         ({"troubles": [trouble_data("errors", 1.0, value=2.0)]}, "troubles.0.value"),
     ],
 )
-def test_each_fault_is_a_line_with_its_path(changes: dict[str, Any], path: str) -> None:
-    with pytest.raises(ScenarioError) as found:
+def test_each_fault_is_a_line_with_its_path(changes: dict[str, Any], key_path: str) -> None:
+    with pytest.raises(ScenarioError) as raised:
         parse_scenario(scenario_data(**changes))
-    assert any(fault.startswith(f"{path}: ") for fault in found.value.problems), found.value.problems
-    assert all("\n" not in fault for fault in found.value.problems)
+    assert any(fault.startswith(f"{key_path}: ") for fault in raised.value.problems), raised.value.problems
+    assert all("\n" not in fault for fault in raised.value.problems)
 
 
 def test_all_faults_of_all_files_are_told_at_once_with_status_2(tmp_path: Path, capsys: Any) -> None:
     (tmp_path / "a.toml").write_text('name = "a"\nseconds = -4\nshows = "two faults and more"\nnope = 1\n')
     (tmp_path / "b.toml").write_text("name = \n")
     assert main(["check", str(tmp_path / "a.toml"), str(tmp_path / "b.toml"), str(tmp_path / "c.toml")]) == 2
-    told = capsys.readouterr().err
-    for part in ("a.toml: seconds:", "a.toml: nope:", "a.toml: servers:", "b.toml: ", "c.toml: "):
-        assert part in told
+    error_text = capsys.readouterr().err
+    for expected_text in ("a.toml: seconds:", "a.toml: nope:", "a.toml: servers:", "b.toml: ", "c.toml: "):
+        assert expected_text in error_text
     assert main(["run", str(tmp_path / "b.toml")]) == 2
 
 
 def test_the_shelf_serves_and_each_says_what_it_shows() -> None:
-    found = [read_scenario(path) for path in sorted(SCENARIO_DIRECTORY.glob("*.toml"))]
-    assert len(found) >= 16
-    assert len({each.shows for each in found}) == len(found)
+    scenarios = [read_scenario(path) for path in sorted(SCENARIO_DIRECTORY.glob("*.toml"))]
+    assert len(scenarios) >= 16
+    assert len({each.shows for each in scenarios}) == len(scenarios)
 
 
 def test_overlapping_troubles_on_one_server_end_in_any_order() -> None:
@@ -83,10 +83,10 @@
         max_size=5,
     )
 )
-def test_a_server_is_as_new_once_all_troubles_are_over(drawn: list[tuple[str, int, int]]) -> None:
+def test_a_server_is_as_new_once_all_troubles_are_over(drawn_troubles: list[tuple[str, int, int]]) -> None:
     troubles = [
         {"name": f"t{number}", "kind": kind, "at_s": at, "seconds": length, "value": 1.0}
-        for number, (kind, at, length) in enumerate(drawn)
+        for number, (kind, at, length) in enumerate(drawn_troubles)
     ]
     scenario = small_scenario("calm", troubles=troubles)
     server = FakeServer(scenario, server_specs(scenario)[0], 1)
@@ -99,8 +99,10 @@
 
 
 def test_a_trouble_may_meet_nobody_or_all() -> None:
-    for part, count in ((0.0, 0), (1.0, 4)):
-        timeline = expand_troubles(small_scenario("calm", troubles=[trouble_data("hang", 1.0, part=part)]), 1)
+    for fraction, count in ((0.0, 0), (1.0, 4)):
+        timeline = expand_troubles(
+            small_scenario("calm", troubles=[trouble_data("hang", 1.0, part=fraction)]), 1
+        )
         assert len(timeline.intervals) == count
         assert all(each.end == FOREVER for each in timeline.intervals)
     assert Timeline([], 1.0).arrival_factor(0.5) == 1.0
