--- a/switchhub/lab/live/clients.py
+++ b/switchhub/lab/live/clients.py
@@ -1,7 +1,7 @@
-"""The clients of a live run and the front that deals them out, in one process.
+"""The clients of a live run and the dispatcher that assigns them to balancers, all in one process.
 
-Owns: every client's connection and the front's view of the balancers. Must never: help a balancer; what it
-says is recorded as it came.
+The dispatcher sees a balancer only from outside: its scheduled stops and its answers to `PING`. What
+balancers send to clients is recorded as it arrived.
 """
 
 from __future__ import annotations
@@ -12,314 +12,335 @@
 from random import Random
 from typing import Any
 
-from switchhub.lab.live.lab_process import LabProcess, Plan, reset_transport, run, say
+from switchhub.lab.live.lab_process import LabProcess, Plan, notify_runner, reset_transport, run
 from switchhub.lab.model import FRONT_OUT, PROMPT
 from switchhub.lab.population import Client, Front, Patience, arrivals, standing
 from switchhub.lab.stand_in import places
 from switchhub.lab.timeline import FOREVER, Interval
 
-PING_EVERY, READY_WITHIN, STAND_WITHIN = 0.1, 20.0, 30.0
-LISTENS = 2.0  # seconds that a client that has given up still listens
-AT_ONCE = 100  # connections of before the start that are set up at a time
+PING_INTERVAL_S = 0.1
+READY_TIMEOUT_S = 20.0  # for the first `PONG` of each balancer
+INITIAL_SETUP_TIMEOUT_S = 30.0  # for each batch of connections that are open when the run starts
+LISTEN_AFTER_GIVING_UP_S = 2.0  # a client that has given up still reads, so that late answers are recorded
+INITIAL_SETUP_BATCH = 100  # connections per batch that are set up before the run starts
 
 
-class Link(asyncio.Protocol):
-    """One connection to a balancer."""
+class ClientConnection(asyncio.Protocol):
+    """One connection from a client to a balancer."""
 
-    def __init__(self, host: Clients, client: Client, name: str, server: str = "") -> None:
-        self.host, self.client, self.name, self.server = host, client, name, server
+    def __init__(self, process: ClientsProcess, client: Client, name: str, server: str = "") -> None:
+        """`server` is set for a connection that is open when the run starts: the server that holds it."""
+        self.process, self.client, self.name, self.server = process, client, name, server
         self.transport: Any = None
-        self.opened = 0.0
-        self.answer = ""
-        self.over = False  # moved, or left by the client
-        self.sent: dict[int, float] = {}
+        self.opened_at = 0.0
+        self.answer = ""  # the first line from the balancer
+        self.closed = False  # moved, lost, or closed by the client
+        self.send_times: dict[int, float] = {}  # of unanswered messages, by message number
         self._buffer = b""
 
     def connection_made(self, transport: Any) -> None:
-        """Write the first line."""
+        """Send the first line."""
         self.transport = transport
-        client, spec = self.client, self.host.scenario
-        kind = spec.classes[client.kind]
-        values = [f"c={kind.name}", f"t={spec.tenants[client.tenant].name}", f"d={kind.deadline_ms:.0f}"]
+        client, scenario = self.client, self.process.scenario
+        connection_class = scenario.classes[client.kind]
+        fields = [
+            f"c={connection_class.name}",
+            f"t={scenario.tenants[client.tenant].name}",
+            f"d={connection_class.deadline_ms:.0f}",
+        ]
         if client.hint is not None:
-            values.append(f"h={client.hint:.0f}")
+            fields.append(f"h={client.hint:.0f}")
         if client.group is not None:
-            values.append(f"g={client.group}")
+            fields.append(f"g={client.group}")
         if client.again:
-            values.append("again=1")
-        if client.retried and spec.clients.marks_retries:
-            values.append("r=1")
+            fields.append("again=1")
+        if client.retried and scenario.clients.marks_retries:
+            fields.append("r=1")
         if self.server:
-            values.append(f"at={self.server}")
-            self.host.record("adopted", self.name, f"b{client.balancer}", client.kind, self.server)
+            fields.append(f"at={self.server}")
+            self.process.record("adopted", self.name, f"b{client.balancer}", client.kind, self.server)
         else:
-            self.opened = self.host.now()
-            self.host.record("opened", self.name, f"b{client.balancer}", client.kind, kind.deadline_ms / 1000)
-        transport.write(f"OPEN {self.name} {client.key} {','.join(values)}\r\n".encode())
+            self.opened_at = self.process.now()
+            self.process.record(
+                "opened", self.name, f"b{client.balancer}", client.kind, connection_class.deadline_ms / 1000
+            )
+        transport.write(f"OPEN {self.name} {client.key} {','.join(fields)}\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Lines from the balancer."""
+        """Handle the complete lines from the balancer."""
         *lines, self._buffer = (self._buffer + data).split(b"\r\n")
         for line in lines:
-            self._line(line.decode(errors="replace"))
+            self._handle_line(line.decode(errors="replace"))
 
-    def _line(self, line: str) -> None:
-        host, word = self.host, line.partition(" ")[0]
-        if not self.answer or word in ("UP", "BUSY", "FAILED"):
+    def _handle_line(self, line: str) -> None:
+        process, keyword = self.process, line.partition(" ")[0]
+        if not self.answer or keyword in ("UP", "BUSY", "FAILED"):
             if not self.server:
-                host.record("answered", self.name, line, round(host.now() - self.opened, 6), self.client.kind)
+                process.record(
+                    "answered", self.name, line, round(process.now() - self.opened_at, 6), self.client.kind
+                )
             if not self.answer:
                 self.answer = line
-                host.answered(self, line)
-        elif word == "MOVE":
-            self.over = True
-            host.record("moved", self.name)
-            host.broke(self, "clients.moved")
-        elif word == "M":
+                process.handle_answer(self, line)
+        elif keyword == "MOVE":
+            self.closed = True
+            process.record("moved", self.name)
+            process.handle_disconnect(self, "clients.moved")
+        elif keyword == "M":
             number = int(line.split(" ")[1])
-            sent = self.sent.pop(number, None)
-            took = host.now() - sent if sent is not None else -1.0
-            host.record("back", self.name, number, round(took, 6), self.client.kind, round(sent or 0.0, 6))
+            sent_at = self.send_times.pop(number, None)
+            round_trip_s = process.now() - sent_at if sent_at is not None else -1.0
+            process.record(
+                "back", self.name, number, round(round_trip_s, 6), self.client.kind, round(sent_at or 0.0, 6)
+            )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended."""
-        if not self.over:
-            self.over = True
-            self.host.record("ended", self.name)
-            self.host.broke(self, "clients.broken")
-
-    def leave(self, abruptly: bool = False) -> None:
-        """End it, as clients do."""
-        if not self.over and self.transport is not None:
-            self.over = True
-            self.host.record("left", self.name)
+        """Record the end of the connection unless it was moved or closed by the client."""
+        if not self.closed:
+            self.closed = True
+            self.process.record("ended", self.name)
+            self.process.handle_disconnect(self, "clients.broken")
+
+    def close_connection(self, abruptly: bool = False) -> None:
+        """Close the connection from the client's side, with a TCP reset if `abruptly`."""
+        if not self.closed and self.transport is not None:
+            self.closed = True
+            self.process.record("left", self.name)
             if abruptly:
                 reset_transport(self.transport)
             else:
                 self.transport.close()
 
 
-class Pinger(asyncio.Protocol):
-    """The front's question to a balancer that was gone."""
+class PingConnection(asyncio.Protocol):
+    """A connection that sends one `PING` to a balancer."""
 
     def __init__(self) -> None:
-        self.answered = asyncio.get_running_loop().create_future()
+        self.got_pong = asyncio.get_running_loop().create_future()  # whether the answer was `PONG`
 
     def connection_made(self, transport: Any) -> None:
-        """Ask."""
+        """Send `PING`."""
         transport.write(b"PING\r\n")
 
     def data_received(self, data: bytes) -> None:
-        """`PONG`, one hopes."""
-        if not self.answered.done():
-            self.answered.set_result(data == b"PONG\r\n")
+        """Set the result: whether the answer is `PONG`."""
+        if not self.got_pong.done():
+            self.got_pong.set_result(data == b"PONG\r\n")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """No answer."""
-        if not self.answered.done():
-            self.answered.set_result(False)
+        """Set the result to false if no answer came."""
+        if not self.got_pong.done():
+            self.got_pong.set_result(False)
 
 
-class Clients(LabProcess):
+class ClientsProcess(LabProcess):
     """All clients of the scenario."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.front, self._patience = Front(self.scenario), Patience(self.scenario, plan.seed)
-        self._every = self.scenario.clients.message_every_s
-        self._links: dict[int, Link] = {}  # by client
-        self._names = 0
+        self.dispatcher, self._retry_policy = Front(self.scenario), Patience(self.scenario, plan.seed)
+        self._message_interval_s = self.scenario.clients.message_every_s
+        self._connections: dict[int, ClientConnection] = {}  # by client index
+        self._connection_count = 0  # connections opened so far; gives each its name
         self._tasks: set[asyncio.Task[None]] = set()
-        self._first = standing(self.scenario, plan.seed)
-        self._stood = 0
+        self._initial_clients = standing(self.scenario, plan.seed)
+        self._initial_clients_answered = 0
 
-    def task(self, work: Any) -> None:
-        """Have it done beside; a defect in it ends the process."""
+    def start_task(self, work: Any) -> None:
+        """Run a coroutine as a background task; a reference is held until it is done."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def serve(self) -> None:
-        """Wait for all balancers, set up what stood before, then say so."""
-        async with asyncio.timeout(READY_WITHIN):
+        """Wait for all balancers, set up the connections that are open at the start, then report ready.
+
+        `TimeoutError` is raised if a balancer or a batch of connections is not ready in time.
+        """
+        async with asyncio.timeout(READY_TIMEOUT_S):
             for index in range(self.scenario.balancers.count):
-                await self._answers(index)
+                await self._wait_for_pong(index)
         names = [each.name for each in places(self.scenario)]
-        for number, client in enumerate(self._first):
+        for number, client in enumerate(self._initial_clients):
             client.balancer = client.index % self.scenario.balancers.count
-            self.task(self._connect(client, names[number % len(names)]))
-            if number % AT_ONCE == 0:
-                await self._settled(number - AT_ONCE)
-        await self._settled(len(self._first))
-        say("ready")
-
-    async def _settled(self, count: int) -> None:
-        async with asyncio.timeout(STAND_WITHIN):
-            while self._stood < count:
+            self.start_task(self._connect(client, names[number % len(names)]))
+            if number % INITIAL_SETUP_BATCH == 0:
+                await self._wait_for_initial_clients(number - INITIAL_SETUP_BATCH)
+        await self._wait_for_initial_clients(len(self._initial_clients))
+        notify_runner("ready")
+
+    async def _wait_for_initial_clients(self, count: int) -> None:
+        async with asyncio.timeout(INITIAL_SETUP_TIMEOUT_S):
+            while self._initial_clients_answered < count:
                 await asyncio.sleep(0.01)
 
-    async def _answers(self, index: int) -> None:
+    async def _wait_for_pong(self, balancer: int) -> None:
         loop = asyncio.get_running_loop()
         while True:
             try:
                 async with asyncio.timeout(1.0):
-                    transport, pinger = await loop.create_connection(
-                        Pinger, self.plan.host, self.plan.balancers[index]
+                    transport, ping = await loop.create_connection(
+                        PingConnection, self.plan.host, self.plan.balancers[balancer]
                     )
-                    good = await pinger.answered
+                    is_pong = await ping.got_pong
                     transport.close()
-                    if good:
+                    if is_pong:
                         return
             except (OSError, TimeoutError):
                 pass
-            await asyncio.sleep(PING_EVERY)
+            await asyncio.sleep(PING_INTERVAL_S)
 
     def begin(self) -> None:
-        """Arrivals, messages, and what troubles clients and fronts."""
-        for client in self._first:
-            self._wants(client)
-        self._come(arrivals(self.scenario, self.timeline, self.plan.seed, len(self._first)))
-        for each in self.timeline.of("drop"):
-            self.at(each.start, self._drop, each.value)
-        for each in self.timeline.of("balancer-die", "balancer-restart"):
-            notice = (
-                FRONT_OUT if each.effect == "balancer-restart" else self.scenario.balancers.front_notice_s
+        """Schedule the arrivals, the messages, and the troubles of clients and dispatcher."""
+        for client in self._initial_clients:
+            self._schedule_session(client)
+        self._schedule_next_arrival(
+            arrivals(self.scenario, self.timeline, self.plan.seed, len(self._initial_clients))
+        )
+        for interval in self.timeline.of("drop"):
+            self.schedule(interval.start, self._drop_connections, interval.value)
+        for interval in self.timeline.of("balancer-die", "balancer-restart"):
+            notice_s = (
+                FRONT_OUT if interval.effect == "balancer-restart" else self.scenario.balancers.front_notice_s
             )
-            self.at(each.start + notice, self._out, each)
+            self.schedule(interval.start + notice_s, self._remove_balancer, interval)
 
-    def _out(self, each: Interval) -> None:
-        index = int(each.target[1:])
-        self.front.out(index)
-        if each.end < FOREVER:
-            self.task(self._back(index, each))
+    def _remove_balancer(self, interval: Interval) -> None:
+        balancer = int(interval.target[1:])
+        self.dispatcher.out(balancer)
+        if interval.end < FOREVER:
+            self.start_task(self._restore_balancer(balancer, interval))
 
-    async def _back(self, index: int, each: Interval) -> None:
-        if each.effect == "balancer-restart":
-            await asyncio.sleep(STOPPED_AFTER)  # the old process still answers
+    async def _restore_balancer(self, balancer: int, interval: Interval) -> None:
+        if interval.effect == "balancer-restart":
+            await asyncio.sleep(OLD_BALANCER_STOPPED_AFTER_S)  # until then the old process answers `PING`
         else:
-            await asyncio.sleep(max(0.0, each.end - self.now()))
-        await self._answers(index)
-        self.front.back(index)
+            await asyncio.sleep(max(0.0, interval.end - self.now()))
+        await self._wait_for_pong(balancer)
+        self.dispatcher.back(balancer)
 
-    def _come(self, clients: Iterator[Client]) -> None:
+    def _schedule_next_arrival(self, clients: Iterator[Client]) -> None:
         client = next(clients, None)
         if client is not None:
-            self.at(client.at, self._comes, client, clients)
+            self.schedule(client.at, self._handle_arrival, client, clients)
 
-    def _comes(self, client: Client, clients: Iterator[Client]) -> None:
-        self._wants(client)
-        self._open(client)
-        self._come(clients)
+    def _handle_arrival(self, client: Client, clients: Iterator[Client]) -> None:
+        self._schedule_session(client)
+        self._open_connection(client)
+        self._schedule_next_arrival(clients)
 
-    def _wants(self, client: Client) -> None:
+    def _schedule_session(self, client: Client) -> None:
         client.next_at = client.at + client.phase
-        self.at(client.next_at, self._message, client)
-        self.at(client.until, self._leave, client)
+        self.schedule(client.next_at, self._send_message, client)
+        self.schedule(client.until, self._end_session, client)
 
-    def _message(self, client: Client) -> None:
+    def _send_message(self, client: Client) -> None:
         if client.until <= self.now() or self.now() >= self.scenario.seconds:
             return
         self.record("wanted", client.kind)
-        client.next_at += self._every
-        self.at(client.next_at, self._message, client)
-        link = self._links.get(client.index)
-        if client.up and link is not None and not link.over:
+        client.next_at += self._message_interval_s
+        self.schedule(client.next_at, self._send_message, client)
+        connection = self._connections.get(client.index)
+        if client.up and connection is not None and not connection.closed:
             client.sent += 1
-            link.sent[client.sent] = self.now()
-            link.transport.write(f"M {client.sent}\r\n".encode())
+            connection.send_times[client.sent] = self.now()
+            connection.transport.write(f"M {client.sent}\r\n".encode())
 
-    def _open(self, client: Client) -> None:
+    def _open_connection(self, client: Client) -> None:
         if self.now() >= min(client.until, self.scenario.seconds):
             return
-        client.balancer = self.front.deal()
+        client.balancer = self.dispatcher.deal()
         if client.balancer < 0:
             self.record("event", "clients.no_balancer")
-            self.at(self.now() + self._patience.after_break(client), self._open, client)
+            self.schedule(self.now() + self._retry_policy.after_break(client), self._open_connection, client)
             return
-        again = "opens.again" if client.again else "opens.retry" if client.tries else "opens"
-        self.record("event", again)
-        self.task(self._connect(client))
+        event = "opens.again" if client.again else "opens.retry" if client.tries else "opens"
+        self.record("event", event)
+        self.start_task(self._connect(client))
 
     async def _connect(self, client: Client, server: str = "") -> None:
-        self._names += 1
+        self._connection_count += 1
         client.up, client.sent = False, 0
-        link = Link(self, client, f"{self._names:016x}", server)
-        self._links[client.index] = link
-        wait = self.scenario.classes[client.kind].deadline_ms / 1000
+        connection = ClientConnection(self, client, f"{self._connection_count:016x}", server)
+        self._connections[client.index] = connection
+        deadline_s = self.scenario.classes[client.kind].deadline_ms / 1000
         try:
-            async with asyncio.timeout(wait):
+            async with asyncio.timeout(deadline_s):
                 await asyncio.get_running_loop().create_connection(
-                    lambda: link, self.plan.host, self.plan.balancers[client.balancer]
+                    lambda: connection, self.plan.host, self.plan.balancers[client.balancer]
                 )
         except (OSError, TimeoutError):
-            link.over = True
+            connection.closed = True
             self.record("event", "clients.no_balancer")
-            self.at(self.now() + self._patience.after_break(client), self._open, client)
+            self.schedule(self.now() + self._retry_policy.after_break(client), self._open_connection, client)
             return
         if not server:
-            self.at(self.now() + wait + PROMPT, self._gives_up, client, link)
+            self.schedule(self.now() + deadline_s + PROMPT, self._give_up, client, connection)
 
-    def _gives_up(self, client: Client, link: Link) -> None:
-        if link.answer or link.over or self._links.get(client.index) is not link:
+    def _give_up(self, client: Client, connection: ClientConnection) -> None:
+        if connection.answer or connection.closed or self._connections.get(client.index) is not connection:
             return
         self.record("event", "clients.gave_up")
-        self._links.pop(client.index, None)
-        self._again(client, self._patience.after_answer(client, True))
-        self.at(self.now() + LISTENS, link.leave)
-
-    def answered(self, link: Link, line: str) -> None:
-        """A final answer."""
-        client = link.client
-        if link.server:
-            self._stood += 1
-        if self._links.get(client.index) is not link:
-            return link.leave()
-        word, _, rest = line.partition(" ")
-        if word == "UP":
+        self._connections.pop(client.index, None)
+        self._schedule_reconnect(client, self._retry_policy.after_answer(client, True))
+        self.schedule(self.now() + LISTEN_AFTER_GIVING_UP_S, connection.close_connection)
+
+    def handle_answer(self, connection: ClientConnection, line: str) -> None:
+        """Handle the first line from the balancer: keep an established connection, else close and retry."""
+        client = connection.client
+        if connection.server:
+            self._initial_clients_answered += 1
+        if self._connections.get(client.index) is not connection:
+            return connection.close_connection()
+        keyword, _, argument = line.partition(" ")
+        if keyword == "UP":
             client.up, client.tries, client.again, client.retried = True, 0, False, False
             if self.now() >= client.until:
-                self._leave(client)
+                self._end_session(client)
             return
-        link.leave()
-        after = float(rest) if rest.replace(".", "").isdigit() else 0.0
-        self._again(client, self._patience.after_answer(client, word != "BUSY", after))
-
-    def broke(self, link: Link, how: str) -> None:
-        """Moved, or ended without the client's doing."""
-        if link.transport is not None:
-            link.transport.close()
-        client = link.client
-        if self._links.get(client.index) is link:
-            self.record("event", how)
-            self._again(client, self._patience.after_break(client))
-
-    def _again(self, client: Client, wait: float | None) -> None:
-        self._links.pop(client.index, None)
+        connection.close_connection()
+        retry_after_ms = float(argument) if argument.replace(".", "").isdigit() else 0.0
+        self._schedule_reconnect(
+            client, self._retry_policy.after_answer(client, keyword != "BUSY", retry_after_ms)
+        )
+
+    def handle_disconnect(self, connection: ClientConnection, event: str) -> None:
+        """Record `event` and reconnect after a connection was moved or was not ended by the client."""
+        if connection.transport is not None:
+            connection.transport.close()
+        client = connection.client
+        if self._connections.get(client.index) is connection:
+            self.record("event", event)
+            self._schedule_reconnect(client, self._retry_policy.after_break(client))
+
+    def _schedule_reconnect(self, client: Client, delay_s: float | None) -> None:
+        """Open a new connection after `delay_s`; without a delay the client has no retries left."""
+        self._connections.pop(client.index, None)
         client.up = False
-        if wait is None:
+        if delay_s is None:
             self.record("event", "clients.out_of_patience")
         else:
-            self.at(self.now() + wait, self._open, client)
+            self.schedule(self.now() + delay_s, self._open_connection, client)
 
-    def _leave(self, client: Client) -> None:
-        link = self._links.get(client.index)
-        if client.up and link is not None and self.now() >= client.until - 0.001:
+    def _end_session(self, client: Client) -> None:
+        connection = self._connections.get(client.index)
+        if client.up and connection is not None and self.now() >= client.until - 0.001:
             client.up = False
-            del self._links[client.index]
-            link.leave()
+            del self._connections[client.index]
+            connection.close_connection()
 
-    def _drop(self, part: float) -> None:
+    def _drop_connections(self, share: float) -> None:
         rng = Random(f"{self.plan.seed}/drop")
-        for client_index in sorted(self._links):
-            link = self._links[client_index]
-            if link.client.up and rng.random() < part:
-                link.leave(abruptly=True)
+        for client_index in sorted(self._connections):
+            connection = self._connections[client_index]
+            if connection.client.up and rng.random() < share:
+                connection.close_connection(abruptly=True)
                 self.record("event", "clients.dropped")
-                self._again(link.client, self._patience.after_break(link.client))
+                self._schedule_reconnect(connection.client, self._retry_policy.after_break(connection.client))
 
 
-STOPPED_AFTER = 4.5  # seconds after SIGTERM at which the old process is gone for sure
+OLD_BALANCER_STOPPED_AFTER_S = 4.5  # after SIGTERM; by then the old process has ended or been killed
 
 
 if __name__ == "__main__":
-    run(Clients, Clients.serve)
+    run(ClientsProcess, ClientsProcess.serve)
--- a/switchhub/lab/live/discovery.py
+++ b/switchhub/lab/live/discovery.py
@@ -1,6 +1,7 @@
-"""Discovery of a live run: one port for each balancer, HTTP/1.1 with watches, and its own troubles.
+"""The discovery service of a live run: one port per balancer, HTTP/1.1 with watches (long polls).
 
-Owns: the list, its versions and the calls that wait. Must never: write to a balancer without a record of it.
+It keeps the server list with its versions and the watches that wait for a change, and plays the troubles of
+discovery. Every server state that is written to a balancer is recorded.
 """
 
 from __future__ import annotations
@@ -15,187 +16,192 @@
 import httptools
 
 from switchhub.lab import told
-from switchhub.lab.live.lab_process import LabProcess, Plan, run, say
+from switchhub.lab.live.lab_process import LabProcess, Plan, notify_runner, run
 from switchhub.lab.stand_in import Place, places
 from switchhub.lab.timeline import Change, Heard, heard
 
-WAIT_MAX = 60.0
+WATCH_WAIT_MAX_S = 60.0
 
 
-class Caller(asyncio.Protocol):
-    """One connection of a balancer."""
+class BalancerConnection(asyncio.Protocol):
+    """One connection from a balancer; it carries one request at a time."""
 
-    def __init__(self, host: Discovery, balancer: int) -> None:
-        self.host, self.balancer = host, balancer
+    def __init__(self, process: DiscoveryProcess, balancer: int) -> None:
+        self.process, self.balancer = process, balancer
         self._transport: Any = None
         self._url = b""
         self._parser = httptools.HttpRequestParser(self)
-        self._waits: asyncio.TimerHandle | None = None
-        self._index: int | None = None
+        self._wait_timer: asyncio.TimerHandle | None = None
+        self._known_version: int | None = None  # the list version that the request names, if any
 
     def connection_made(self, transport: Any) -> None:
-        """It is accepted."""
+        """Keep the transport of the accepted connection."""
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Its call, if one waits, is over."""
-        self._done()
-        self.host.record("asks", f"b{self.balancer}", False)
+        """End the watch, if one waits."""
+        self._stop_waiting()
+        self.process.record("asks", f"b{self.balancer}", False)
 
     def data_received(self, data: bytes) -> None:
-        """Part of a call."""
+        """Parse request bytes; close the connection on malformed HTTP."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._transport.close()
 
     def on_url(self, url: bytes) -> None:
-        """The parser's word."""
+        """Parser callback: append a part of the request URL."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        """A call is whole; it is worked through in its turn."""
+        """Parser callback: schedule the complete request for when the service has capacity for it."""
         query = parse_qs(urlsplit(self._url.decode()).query)
         self._url = b""
-        self._index = int(query["index"][0]) if "index" in query else None
-        wait = min(float(query.get("wait", ["0"])[0]) / 1000, WAIT_MAX)
-        asyncio.get_running_loop().call_later(self.host.turn(), self._take, wait)
+        self._known_version = int(query["index"][0]) if "index" in query else None
+        wait_s = min(float(query.get("wait", ["0"])[0]) / 1000, WATCH_WAIT_MAX_S)
+        asyncio.get_running_loop().call_later(self.process.queue_request(), self._handle_request, wait_s)
 
-    def _take(self, wait: float) -> None:
+    def _handle_request(self, wait_s: float) -> None:
         if self._transport.is_closing():
             return
-        self.host.record("asks", f"b{self.balancer}", True)
-        if self.host.troubled("roster-out"):
+        self.process.record("asks", f"b{self.balancer}", True)
+        if self.process.has_trouble("roster-out"):
             return self.fail()
-        if self.host.troubled("roster-silent"):
+        if self.process.has_trouble("roster-silent"):
             return
-        if self._index is not None and self._index >= self.host.version and wait:
-            self.host.waiting.add(self)
-            self._waits = asyncio.get_running_loop().call_later(wait, self.answer)
+        if self._known_version is not None and self._known_version >= self.process.version and wait_s:
+            self.process.waiting.add(self)
+            self._wait_timer = asyncio.get_running_loop().call_later(wait_s, self.answer)
         else:
             self.answer()
 
-    def _done(self) -> None:
-        self.host.waiting.discard(self)
-        if self._waits is not None:
-            self._waits.cancel()
-            self._waits = None
+    def _stop_waiting(self) -> None:
+        self.process.waiting.discard(self)
+        if self._wait_timer is not None:
+            self._wait_timer.cancel()
+            self._wait_timer = None
 
     def fail(self) -> None:
-        """503."""
-        self._done()
-        self.host.record("asks", f"b{self.balancer}", False)
+        """Answer the request with status 503."""
+        self._stop_waiting()
+        self.process.record("asks", f"b{self.balancer}", False)
         self._transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 
-    def mute(self) -> None:
-        """Leave it without an answer."""
-        self._done()
+    def drop_request(self) -> None:
+        """Leave the request without an answer and the connection open."""
+        self._stop_waiting()
 
     def answer(self) -> None:
-        """What is new to it, or the whole list."""
-        self._done()
-        host = self.host
-        whole = self._index is None or host.scenario.discovery.whole
-        changed = [each.name for each in host.places if whole or host.changed[each.name] > (self._index or 0)]
+        """Answer with the servers that changed since the version of the request, or with the full list."""
+        self._stop_waiting()
+        process = self.process
+        full = self._known_version is None or process.scenario.discovery.whole
+        names = [
+            each.name
+            for each in process.specs
+            if full or process.changed_in_version[each.name] > (self._known_version or 0)
+        ]
         body = json.dumps(
             {
-                "version": host.version,
-                "full": whole,
-                "servers": [host.entry(name, self.balancer) for name in changed],
+                "version": process.version,
+                "full": full,
+                "servers": [process.server_entry(name, self.balancer) for name in names],
             }
         ).encode()
-        for name in changed:
-            state, born = host.known[name]
-            host.record("told", f"b{self.balancer}", name, state, born)
+        for name in names:
+            state, started_at = process.server_states[name]
+            process.record("told", f"b{self.balancer}", name, state, started_at)
         self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-class Discovery(LabProcess):
-    """One service for all balancers."""
+class DiscoveryProcess(LabProcess):
+    """The discovery service of all balancers."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.places: list[Place] = places(self.scenario)
-        self._by_name = {each.name: each for each in self.places}
-        self.known = {each.name: ("Ready", 0.0) for each in self.places}
-        self.changed = {each.name: 1 for each in self.places}
+        self.specs: list[Place] = places(self.scenario)
+        self._specs_by_name = {each.name: each for each in self.specs}
+        # State of each server and the second of the run at which it started; 0: before the run.
+        self.server_states = {each.name: ("Ready", 0.0) for each in self.specs}
+        self.changed_in_version = {each.name: 1 for each in self.specs}
         self.version = 1
-        self.waiting: set[Caller] = set()
-        self._late: list[Heard] = []
-        self._active: dict[str, int] = {}
-        self._next = 0.0
-        self._listening: list[asyncio.Server] = []
-
-    def troubled(self, effect: str) -> bool:
-        """Whether it has this trouble now."""
-        return self._active.get(effect, 0) > 0
-
-    def turn(self) -> float:
-        """Seconds until another call can be worked through."""
+        self.waiting: set[BalancerConnection] = set()
+        self._delayed_updates: list[Heard] = []  # received while the list is stale
+        self._active_troubles: dict[str, int] = {}  # number of active intervals by effect
+        self._next_request_at = 0.0  # event loop time
+        self._listeners: list[asyncio.Server] = []
+
+    def has_trouble(self, effect: str) -> bool:
+        """Return whether a trouble with this effect is active."""
+        return self._active_troubles.get(effect, 0) > 0
+
+    def queue_request(self) -> float:
+        """Queue a request at the service's rate limit; return the seconds until it is handled."""
         now = asyncio.get_running_loop().time()
-        self._next = max(self._next + 1 / self.scenario.discovery.calls_per_s, now)
-        return self._next - now
+        self._next_request_at = max(self._next_request_at + 1 / self.scenario.discovery.calls_per_s, now)
+        return self._next_request_at - now
 
-    def entry(self, name: str, balancer: int) -> dict[str, Any]:
-        """A server as this balancer is told of it."""
-        place = self._by_name[name]
-        state, born = self.known[name]
+    def server_entry(self, name: str, balancer: int) -> dict[str, Any]:
+        """Return the list entry of a server for a balancer; its port depends on the balancer's zone."""
+        spec = self._specs_by_name[name]
+        state, started_at = self.server_states[name]
         port = self.plan.servers[name][told.zone_of(self.scenario, balancer)]
         return {
             "id": name,
             "addr": f"{self.plan.host}:{port}",
-            "zone": self.scenario.zones[place.zone],
-            "kind": place.group.kind,
-            "cell": place.cell,
+            "zone": self.scenario.zones[spec.zone],
+            "kind": spec.group.kind,
+            "cell": spec.cell,
             "state": state,
             "weight": 1.0,
-            "started_ms": round(self.epoch + born * 1000) if born else 0,
+            "started_ms": round(self.start_unix_ms + started_at * 1000) if started_at else 0,
         }
 
     async def serve(self) -> None:
-        """Listen."""
+        """Listen on the port of each balancer, then report ready."""
         loop = asyncio.get_running_loop()
         for index, port in enumerate(self.plan.discovery):
-            self._listening.append(
+            self._listeners.append(
                 await loop.create_server(
-                    partial(Caller, self, index), self.plan.host, port, reuse_address=True
+                    partial(BalancerConnection, self, index), self.plan.host, port, reuse_address=True
                 )
             )
-        say("ready")
+        notify_runner("ready")
 
     def begin(self) -> None:
-        """What it comes to know, and its troubles."""
-        for each in heard(self.scenario, self.timeline):
-            self.at(each.at, self._learns, each)
+        """Schedule the updates of server states and the troubles of discovery."""
+        for update in heard(self.scenario, self.timeline):
+            self.schedule(update.at, self._apply_update, update)
         for change in self.timeline.changes:
             if change.interval.effect.startswith("roster-"):
-                self.at(change.at, self._change, change)
+                self.schedule(change.at, self._apply_change, change)
 
-    def _learns(self, each: Heard) -> None:
-        if self.troubled("roster-stale"):
-            self._late.append(each)
+    def _apply_update(self, update: Heard) -> None:
+        if self.has_trouble("roster-stale"):
+            self._delayed_updates.append(update)
             return
         self.version += 1
-        self.record("knows", each.server, each.state)
-        self.known[each.server] = (each.state, each.born)
-        self.changed[each.server] = self.version
-        for caller in list(self.waiting):
-            caller.answer()
+        self.record("knows", update.server, update.state)
+        self.server_states[update.server] = (update.state, update.born)
+        self.changed_in_version[update.server] = self.version
+        for connection in list(self.waiting):
+            connection.answer()
 
-    def _change(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         effect = change.interval.effect
-        self._active[effect] = self._active.get(effect, 0) + (1 if change.begins else -1)
+        self._active_troubles[effect] = self._active_troubles.get(effect, 0) + (1 if change.begins else -1)
         if change.begins and effect in ("roster-out", "roster-silent"):
-            for caller in list(self.waiting):
+            for connection in list(self.waiting):
                 if effect == "roster-out":
-                    caller.fail()
+                    connection.fail()
                 else:
-                    caller.mute()
-        elif effect == "roster-stale" and not self.troubled(effect):
-            late, self._late = self._late, []
-            for each in late:
-                self._learns(each)
+                    connection.drop_request()
+        elif effect == "roster-stale" and not self.has_trouble(effect):
+            delayed_updates, self._delayed_updates = self._delayed_updates, []
+            for update in delayed_updates:
+                self._apply_update(update)
 
 
 if __name__ == "__main__":
-    run(Discovery, Discovery.serve)
+    run(DiscoveryProcess, DiscoveryProcess.serve)
--- a/switchhub/lab/live/lab_process.py
+++ b/switchhub/lab/live/lab_process.py
@@ -1,7 +1,7 @@
-"""What every process of a live run has in common: the plan, the run's clock, the records, the word to start.
+"""What the lab's processes of a live run share: plan, run clock, record file and control by the runner.
 
-Owns: the plan's form, one records file per process, the measure of the process's own lateness. Must never:
-write a record with another clock than CLOCK_MONOTONIC, which all processes of a machine share.
+Each process writes one record file and measures by how much its own event loop runs late. All times come from
+CLOCK_MONOTONIC, which all processes of a machine share, so that records of several processes can be merged.
 """
 
 from __future__ import annotations
@@ -21,116 +21,120 @@
 from switchhub.lab.scenario import Scenario, parse
 from switchhub.lab.timeline import Timeline, expand
 
-LOOK = 0.02  # seconds between two looks at one's own lateness
-LATE = 0.04  # seconds behind at which such a look counts as late
+LATENESS_CHECK_INTERVAL_S = 0.02
+LATE_CHECK_MIN_S = 0.04  # a check later than this counts as late
 
 
 class Plan:
-    """What the runner tells each process: the scenario, the seed, who listens where."""
+    """The plan file that the runner writes for every process: scenario, seed and listening ports."""
 
     def __init__(self, data: dict[str, Any]) -> None:
         self.scenario: Scenario = parse(data["scenario"])
         self.seed: int = data["seed"]
         self.timeline: Timeline = expand(self.scenario, self.seed)
         self.host: str = data["host"]
-        self.servers: dict[str, list[int]] = data["servers"]  # a port for each zone that balancers come from
-        self.discovery: list[int] = data["discovery"]  # one for each balancer
-        self.balancers: list[int] = data["balancers"]
+        self.servers: dict[str, list[int]] = data["servers"]  # per server, one port per zone of balancers
+        self.discovery: list[int] = data["discovery"]  # one port per balancer
+        self.balancers: list[int] = data["balancers"]  # one port per balancer
 
 
 class LabProcess:
-    """One process of a live run."""
+    """Base class of the lab's processes of a live run: servers, discovery and clients."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
+        """Open the record file at `records` for writing."""
         self.plan, self.scenario, self.timeline = plan, plan.scenario, plan.timeline
-        self._zero = 0.0
+        self._start_monotonic_s = 0.0
         self.started = False
-        self.epoch = 0.0  # Unix milliseconds at the start
-        self._file = records.open("w", encoding="utf-8")
-        self._lines: list[str] = []
-        self._looks = self._behind = 0
-        self._worst = 0.0
+        self.start_unix_ms = 0.0
+        self._record_file = records.open("w", encoding="utf-8")
+        self._pending_records: list[str] = []
+        self._lateness_checks = self._late_checks = 0
+        self._max_lateness_s = 0.0
 
     def now(self) -> float:
-        """Seconds since the start; 0 before."""
-        return time.monotonic() - self._zero if self.started else 0.0
+        """Return the seconds since the start of the run, 0 before the start."""
+        return time.monotonic() - self._start_monotonic_s if self.started else 0.0
 
-    def record(self, what: str, *told: Any) -> None:
-        """One line for the judge, with the time of now."""
-        self._lines.append(json.dumps([round(self.now(), 6), what, *told]))
+    def record(self, event: str, *values: Any) -> None:
+        """Record an event with the current time for the checker; it is written at the next `flush`."""
+        self._pending_records.append(json.dumps([round(self.now(), 6), event, *values]))
 
-    def at(self, when: float, call: Callable[..., Any], *told: Any) -> None:
-        """Have it done at a moment of the run."""
-        asyncio.get_running_loop().call_later(max(0.0, when - self.now()), call, *told)
+    def schedule(self, at: float, callback: Callable[..., Any], *args: Any) -> None:
+        """Call `callback(*args)` at `at` seconds of the run, or as soon as possible if that has passed."""
+        asyncio.get_running_loop().call_later(max(0.0, at - self.now()), callback, *args)
 
     def flush(self) -> None:
-        """Write what is recorded."""
-        if self._lines:
-            self._file.write("\n".join(self._lines) + "\n")
-            self._file.flush()
-            self._lines.clear()
+        """Write the pending records to the record file."""
+        if self._pending_records:
+            self._record_file.write("\n".join(self._pending_records) + "\n")
+            self._record_file.flush()
+            self._pending_records.clear()
 
     def begin(self) -> None:
-        """The run starts now."""
+        """Schedule the work of this process; called once at the start of the run."""
 
-    async def look(self) -> None:
-        """How late this process is, all along."""
+    async def measure_lateness(self) -> None:
+        """Measure for as long as the process runs how late its event loop is; flush large record batches."""
         while True:
             before = time.monotonic()
-            await asyncio.sleep(LOOK)
-            late = time.monotonic() - before - LOOK
+            await asyncio.sleep(LATENESS_CHECK_INTERVAL_S)
+            lateness_s = time.monotonic() - before - LATENESS_CHECK_INTERVAL_S
             if self.started:
-                self._looks += 1
-                self._behind += late > LATE
-                self._worst = max(self._worst, late)
-            if len(self._lines) > 500:
+                self._lateness_checks += 1
+                self._late_checks += lateness_s > LATE_CHECK_MIN_S
+                self._max_lateness_s = max(self._max_lateness_s, lateness_s)
+            if len(self._pending_records) > 500:
                 self.flush()
 
-    async def words(self) -> None:
-        """Wait for `start MONOTONIC UNIX_MS`, then for the end of standard input."""
+    async def run_until_stdin_closes(self) -> None:
+        """Wait for the line `start MONOTONIC UNIX_MS` on standard input, begin, then wait for its end.
+
+        MONOTONIC is the start of the run on CLOCK_MONOTONIC in seconds. Without a start line, return at once.
+        """
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         line = await reader.readline()
-        word, *figures = line.decode().split() or [""]
-        if word == "start":
-            self._zero, self.epoch = float(figures[0]), float(figures[1])
-            await asyncio.sleep(self._zero - time.monotonic())
+        command, *times = line.decode().split() or [""]
+        if command == "start":
+            self._start_monotonic_s, self.start_unix_ms = float(times[0]), float(times[1])
+            await asyncio.sleep(self._start_monotonic_s - time.monotonic())
             self.started = True
             self.begin()
             await reader.read()
 
     def close(self) -> None:
-        """The last records, and how late this process was."""
-        self.record("lateness", self._looks, self._behind, round(self._worst, 4))
+        """Record the lateness of this process, then write and close the record file."""
+        self.record("lateness", self._lateness_checks, self._late_checks, round(self._max_lateness_s, 4))
         self.flush()
-        self._file.close()
+        self._record_file.close()
 
 
-def say(word: str) -> None:
-    """Tell the runner."""
-    print(word, flush=True)
+def notify_runner(message: str) -> None:
+    """Write a line to standard output, which the runner reads."""
+    print(message, flush=True)
 
 
-def run(make: Callable[[Plan, Path], LabProcess], serve: Callable[[Any], Awaitable[None]]) -> None:
-    """The process: `PLAN RECORDS` are its arguments; it ends with its standard input."""
+def run(create_process: Callable[[Plan, Path], LabProcess], serve: Callable[[Any], Awaitable[None]]) -> None:
+    """Run a lab process with the command line arguments `PLAN RECORDS` until its standard input closes."""
 
     async def main() -> None:
         plan = Plan(json.loads(Path(sys.argv[1]).read_text(encoding="utf-8")))
-        part = make(plan, Path(sys.argv[2]))
-        looking = asyncio.create_task(part.look())
+        process = create_process(plan, Path(sys.argv[2]))
+        lateness_task = asyncio.create_task(process.measure_lateness())
         try:
-            await serve(part)
-            await part.words()
+            await serve(process)
+            await process.run_until_stdin_closes()
         finally:
-            looking.cancel()
-            part.close()
+            lateness_task.cancel()
+            process.close()
 
     uvloop.run(main())
 
 
 def reset_transport(transport: asyncio.WriteTransport) -> None:
-    """End a connection with a reset."""
+    """Close a connection with a TCP reset: a linger time of 0 makes the kernel send RST in place of FIN."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/switchhub/lab/live/servers.py
+++ b/switchhub/lab/live/servers.py
@@ -1,9 +1,7 @@
-"""The servers of a live run, in one process: `StandIn` behind real sockets, one port for each zone of
-balancers.
+"""The servers of a live run, all in one process: each `StandIn` listens on one port per zone of balancers.
 
-Owns: their listening sockets and every connection to them. Must never: tell a balancer anything but the
-protocol's words, or answer while the network between is cut; what comes meanwhile is kept and goes on
-afterwards.
+Servers send balancers only lines of the protocol. While the network between two zones is cut, servers do not
+answer across it: the bytes that arrive are buffered and handled once the cut ends.
 """
 
 from __future__ import annotations
@@ -13,209 +11,220 @@
 from pathlib import Path
 from typing import Any
 
-from switchhub.lab.live.lab_process import LabProcess, Plan, reset_transport, run, say
+from switchhub.lab.live.lab_process import LabProcess, Plan, notify_runner, reset_transport, run
 from switchhub.lab.population import arrivals, standing
 from switchhub.lab.stand_in import StandIn, Verdict, places
 from switchhub.lab.timeline import Change
 
-BACKLOG = 4096
+LISTEN_BACKLOG = 4096  # connections that may wait to be accepted
 
 
-class Link(asyncio.Protocol):
-    """One connection from a balancer."""
+class BalancerConnection(asyncio.Protocol):
+    """One connection from a balancer to a server."""
 
-    def __init__(self, host: Servers, server: StandIn, zone: int) -> None:
-        self.host, self.server, self.zone = host, server, zone
+    def __init__(self, process: ServersProcess, server: StandIn, zone: int) -> None:
+        """`zone` is the index of the balancer's zone."""
+        self.process, self.server, self.zone = process, server, zone
         self.transport: asyncio.Transport | None = None
-        self.id = ""
+        self.id = ""  # the connection id of the first line; empty until that has arrived
         self.adopted = self.up = False
         self._buffer = b""
-        self._last = 0.0  # when the latest answer is due; they keep their order
-        self._way = 2 * host.way(zone, server.place.zone)
+        self._last_answer_at = 0.0  # when the latest answer is due; answers keep the order of their lines
+        self._round_trip_s = 2 * process.one_way_delay(zone, server.place.zone)
 
     def connection_made(self, transport: Any) -> None:
-        """It is accepted."""
+        """Register the accepted connection."""
         self.transport = transport
-        self.host.links[self.server.name].add(self)
+        self.process.connections[self.server.name].add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes; while nothing can pass they only pile up."""
+        """Buffer the bytes, and handle complete lines unless the server hangs or the network is cut."""
         self._buffer += data
-        self.go_on()
-
-    def go_on(self) -> None:
-        """Take the lines that are whole."""
-        while not (self.server.hangs and self.id) and self.host.reaches(self.zone, self.server.place.zone):
-            line, sep, rest = self._buffer.partition(b"\r\n")
-            if not sep:
+        self.handle_lines()
+
+    def handle_lines(self) -> None:
+        """Handle the complete lines in the buffer.
+
+        Stops while the network is cut, and while the server hangs; a hanging server still reads first lines.
+        """
+        while not (self.server.hangs and self.id) and self.process.can_reach(
+            self.zone, self.server.place.zone
+        ):
+            line, separator, rest = self._buffer.partition(b"\r\n")
+            if not separator:
                 return
             self._buffer = rest
             if self.id:
-                self._message(line.decode())
+                self._handle_message(line.decode())
             else:
-                self._open(line.decode())
-
-    def _open(self, line: str) -> None:
-        word, name, key, *rest = line.split(" ")
-        values = dict(each.split("=", 1) for each in rest[0].split(",")) if rest else {}
-        self.id = name
-        host, server, now = self.host, self.server, self.host.now()
-        load = host.loads.get(key, 0.0)
-        if word != "OPEN":
-            return self._say("SYNTAX")
-        if values.get("at") == server.name and not host.started:
+                self._handle_first_line(line.decode())
+
+    def _handle_first_line(self, line: str) -> None:
+        keyword, connection_id, flow_key, *options = line.split(" ")
+        fields = dict(each.split("=", 1) for each in options[0].split(",")) if options else {}
+        self.id = connection_id
+        process, server, now = self.process, self.server, self.process.now()
+        load = process.loads_by_flow_key.get(flow_key, 0.0)
+        if keyword != "OPEN":
+            return self._send_line("SYNTAX")
+        if fields.get("at") == server.name and not process.started:
             self.adopted = self.up = True
-            server.hold(name, load)
-            return self._say(f"UP {server.name}.{name}")
-        verdict, wait = server.offer(now, name, load)
-        host.record("took", server.name, name)
-        if verdict is Verdict.UP:
-            if server.pushed_over(now, name, load):
-                host.fell(server)
+            server.hold(connection_id, load)
+            return self._send_line(f"UP {server.name}.{connection_id}")
+        reply, setup_s = server.offer(now, connection_id, load)
+        process.record("took", server.name, connection_id)
+        if reply is Verdict.UP:
+            if server.pushed_over(now, connection_id, load):
+                process.crash_cold_server(server)
             else:
-                asyncio.get_running_loop().call_later(wait + self._way, self._stands)
-        elif verdict is not Verdict.SILENT:
-            host.record("said", server.name, name, verdict.value)
-            self._say(verdict.value)
-            self.end(True)
+                asyncio.get_running_loop().call_later(setup_s + self._round_trip_s, self._establish)
+        elif reply is not Verdict.SILENT:
+            process.record("said", server.name, connection_id, reply.value)
+            self._send_line(reply.value)
+            self.close_connection(True)
 
-    def _stands(self) -> None:
+    def _establish(self) -> None:
         if self.transport is None or self.server.dead or self.server.hangs:
             return
         self.up = True
         receipt = f"UP {self.server.name}.{self.id}"
-        self.host.record("said", self.server.name, self.id, receipt)
-        self._say(receipt)
-
-    def _message(self, line: str) -> None:
-        host, now = self.host, self.host.now()
-        word, _, number = line.partition(" ")
-        if word != "M" or not number.isdigit():
-            return self._say("ERR")
-        host.record("got", self.id, int(number))
-        self._last = max(self._last, now + self._way + self.server.delay(now))
-        if self._last - now < 0.001:
-            self._say(line)
+        self.process.record("said", self.server.name, self.id, receipt)
+        self._send_line(receipt)
+
+    def _handle_message(self, line: str) -> None:
+        process, now = self.process, self.process.now()
+        keyword, _, number = line.partition(" ")
+        if keyword != "M" or not number.isdigit():
+            return self._send_line("ERR")
+        process.record("got", self.id, int(number))
+        self._last_answer_at = max(self._last_answer_at, now + self._round_trip_s + self.server.delay(now))
+        if self._last_answer_at - now < 0.001:
+            self._send_line(line)
         else:
-            asyncio.get_running_loop().call_later(self._last - now, self._answer, line)
+            asyncio.get_running_loop().call_later(self._last_answer_at - now, self._answer_message, line)
 
-    def _answer(self, line: str) -> None:
-        if self.server.hangs or not self.host.reaches(self.zone, self.server.place.zone):
-            self.host.at(self.host.now() + 0.1, self._answer, line)  # it goes on when the server does
+    def _answer_message(self, line: str) -> None:
+        if self.server.hangs or not self.process.can_reach(self.zone, self.server.place.zone):
+            # Try again until the server answers and the network carries the answer.
+            self.process.schedule(self.process.now() + 0.1, self._answer_message, line)
         else:
-            self._say(line)
+            self._send_line(line)
 
-    def _say(self, line: str) -> None:
+    def _send_line(self, line: str) -> None:
         if self.transport is not None:
             self.transport.write(line.encode() + b"\r\n")
 
     def eof_received(self) -> bool:
-        """The balancer has ended its side; so does the server."""
+        """Close the server's side too when the balancer has closed its side."""
         return False
 
-    def end(self, by_server: bool) -> None:
-        """Give the connection back."""
+    def close_connection(self, by_server: bool) -> None:
+        """Remove the connection from the server and close it; `by_server` tells which side ended it."""
         transport, self.transport = self.transport, None
         if transport is None:
             return
-        self.host.links[self.server.name].discard(self)
+        self.process.connections[self.server.name].discard(self)
         if self.id:
-            self.host.record("dropped", self.server.name, self.id, by_server)
-            self.server.end(self.host.now(), self.id)
+            self.process.record("dropped", self.server.name, self.id, by_server)
+            self.server.end(self.process.now(), self.id)
         transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The other side has ended it."""
-        self.end(False)
+        """Remove the connection from the server unless the server has closed it already."""
+        self.close_connection(False)
 
 
-class Servers(LabProcess):
+class ServersProcess(LabProcess):
     """All servers of the scenario."""
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.places = places(self.scenario)
-        self.servers = {each.name: StandIn(self.scenario, each, plan.seed) for each in self.places}
-        self.links: dict[str, set[Link]] = {name: set() for name in self.servers}
-        self._listening: dict[str, list[asyncio.Server]] = {}
-        self._cut: list[str] = []
-        first = standing(self.scenario, plan.seed)
-        self.loads = {each.key: each.load for each in first}
-        for each in arrivals(self.scenario, self.timeline, plan.seed, len(first)):
-            self.loads[each.key] = each.load
-
-    def way(self, zone: int, other: int) -> float:
-        """Seconds one way."""
+        self.specs = places(self.scenario)
+        self.servers = {each.name: StandIn(self.scenario, each, plan.seed) for each in self.specs}
+        self.connections: dict[str, set[BalancerConnection]] = {name: set() for name in self.servers}
+        self._listeners: dict[str, list[asyncio.Server]] = {}
+        self._cut_zones: list[str] = []
+        clients_at_start = standing(self.scenario, plan.seed)
+        self.loads_by_flow_key = {each.key: each.load for each in clients_at_start}
+        for each in arrivals(self.scenario, self.timeline, plan.seed, len(clients_at_start)):
+            self.loads_by_flow_key[each.key] = each.load
+
+    def one_way_delay(self, zone: int, other: int) -> float:
+        """Return the network delay between two zones in seconds, one way."""
         network = self.scenario.network
         return (network.within_ms if zone == other else network.between_ms) / 1000
 
-    def reaches(self, zone: int, other: int) -> bool:
-        """Whether the network carries anything between two zones."""
+    def can_reach(self, zone: int, other: int) -> bool:
+        """Return whether the network carries data between two zones; a cut zone reaches only itself."""
         names = self.scenario.zones
-        return zone == other or not (names[zone] in self._cut or names[other] in self._cut)
+        return zone == other or not (names[zone] in self._cut_zones or names[other] in self._cut_zones)
 
     async def listen(self, name: str) -> None:
-        """Take connections."""
+        """Accept connections to a server, on one port per zone of balancers."""
         loop = asyncio.get_running_loop()
         server = self.servers[name]
-        self._listening[name] = [
+        self._listeners[name] = [
             await loop.create_server(
-                partial(Link, self, server, zone), self.plan.host, port, backlog=BACKLOG, reuse_address=True
+                partial(BalancerConnection, self, server, zone),
+                self.plan.host,
+                port,
+                backlog=LISTEN_BACKLOG,
+                reuse_address=True,
             )
             for zone, port in enumerate(self.plan.servers[name])
         ]
 
     async def serve(self) -> None:
-        """Listen at once, troubles from the start on."""
+        """Listen on the ports of all servers, then report ready; troubles begin with the run."""
         for name in self.servers:
             await self.listen(name)
-        say("ready")
+        notify_runner("ready")
 
     def begin(self) -> None:
-        """The timeline."""
+        """Schedule the changes of the timeline."""
         for change in self.timeline.changes:
-            self.at(change.at, self._change, change)
+            self.schedule(change.at, self._apply_change, change)
 
-    def _change(self, change: Change) -> None:
-        each, now = change.interval, self.now()
-        if each.effect == "zone-cut":
+    def _apply_change(self, change: Change) -> None:
+        interval, now = change.interval, self.now()
+        if interval.effect == "zone-cut":
             if change.begins:
-                self._cut.append(each.target)
+                self._cut_zones.append(interval.target)
             else:
-                self._cut.remove(each.target)
+                self._cut_zones.remove(interval.target)
                 for name in self.servers:
-                    self._go_on(name)
-        elif each.target in self.servers:
-            server = self.servers[each.target]
-            hung = server.hangs
-            if server.change(now, change.begins, each):
+                    self._resume_connections(name)
+        elif interval.target in self.servers:
+            server = self.servers[interval.target]
+            was_hanging = server.hangs
+            if server.change(now, change.begins, interval):
                 if server.dead:
-                    self._die(each.target)
+                    self._stop_server(interval.target)
                 else:
-                    self.record("started", each.target, each.end)
-                    task = asyncio.get_running_loop().create_task(self.listen(each.target))
+                    self.record("started", interval.target, interval.end)
+                    task = asyncio.get_running_loop().create_task(self.listen(interval.target))
                     task.add_done_callback(lambda done: done.result())
-            elif hung and not server.hangs:
-                self._go_on(each.target)
-
-    def _go_on(self, name: str) -> None:
-        for link in list(self.links[name]):
-            link.go_on()
-
-    def _die(self, name: str) -> None:
-        for listening in self._listening.pop(name, ()):
-            listening.close()
-        for link in list(self.links[name]):
-            transport = link.transport
-            link.end(True)
+            elif was_hanging and not server.hangs:
+                self._resume_connections(interval.target)
+
+    def _resume_connections(self, name: str) -> None:
+        for connection in list(self.connections[name]):
+            connection.handle_lines()
+
+    def _stop_server(self, name: str) -> None:
+        for listener in self._listeners.pop(name, ()):
+            listener.close()
+        for connection in list(self.connections[name]):
+            transport = connection.transport
+            connection.close_connection(True)
             if transport is not None:
                 reset_transport(transport)
 
-    def fell(self, server: StandIn) -> None:
-        """A cold server was given too much."""
+    def crash_cold_server(self, server: StandIn) -> None:
+        """Record and stop a cold server that was given more set-up work than it can take."""
         self.record("fell", server.name, list(server.pushed), server.most(self.now()))
-        self._die(server.name)
+        self._stop_server(server.name)
 
 
 if __name__ == "__main__":
-    run(Servers, Servers.serve)
+    run(ServersProcess, ServersProcess.serve)
