--- a/switchhub/lab/live/runner.py
+++ b/switchhub/lab/live/runner.py
@@ -1,7 +1,9 @@
-"""`lab run --engine live`: starts every process of a run, plays the deaths of balancers, ends all, judges.
+"""`lab run --engine live`: runs a scenario with real processes on loopback and checks what they recorded.
 
-Owns: the processes, the folder with plan, configurations and records. Must never: leave a process or a folder
-behind, however the run ends, or judge a run that this machine was too slow for.
+The runner starts the lab's processes and the balancers, kills, restarts and reloads balancers as the
+scenario says, and stops everything at the end. It removes all processes and its temporary directory (plan,
+configurations and records) however the run ends. A run for which this machine was too slow is not checked
+but reported as unfit.
 """
 
 from __future__ import annotations
@@ -30,29 +32,28 @@
 from switchhub.lab.tally import Tally, result
 from switchhub.lab.timeline import Interval, expand, names_met
 
-ROOT = Path(__file__).parent.parent.parent.parent
-SLACK = 0.05  # seconds by which each limit is longer on sockets
-BALANCERS_MAX, SERVERS_MAX, LINES_MAX = (
-    12,
-    60,
-    4000,
-)  # what fits one machine: processes, servers, lines a second
-SPARE = 200  # descriptors of each process for everything but connections
-STARTED_WITHIN, STANDING_WITHIN, ENDED_WITHIN = 20.0, 60.0, 10.0
-STOPPED_WITHIN = 4.5  # seconds after SIGTERM in which a balancer must have ended
-LEAD = 0.3  # seconds between the word to start and the start
-LATE_PART, LATE_MOST = (
-    0.01,
-    0.4,
-)  # of its looks that a stand-in may be late at; seconds that it may be behind once
+ROOT = Path(__file__).parent.parent.parent.parent  # of the checkout that this module belongs to
+TIME_SLACK_S = 0.05  # added to the checker's time limits, since sockets and processes add delay
+# The largest run that fits one machine.
+BALANCERS_MAX = 12
+SERVERS_MAX = 60
+LINES_PER_S_MAX = 4000
+SPARE_DESCRIPTORS = 200  # file descriptors of each process for everything but connections
+START_TIMEOUT_S = 20.0  # for servers and discovery to listen
+CLIENTS_READY_TIMEOUT_S = 60.0  # for the clients to set up the connections that are open at the start
+EXIT_TIMEOUT_S = 10.0  # for a lab process to exit after its standard input was closed
+BALANCER_STOP_TIMEOUT_S = 4.5  # for a balancer to exit after SIGTERM
+START_DELAY_S = 0.3  # from the start command to the start of the run: time to read the command
+LATE_CHECK_FRACTION_MAX = 0.01  # of its lateness checks at which a lab process may be late
+LATENESS_MAX_S = 0.4  # by which a lab process may be late at a single check
 
 
 class UnfitError(Exception):
-    """This machine can't play the scenario, or could not keep up with it."""
+    """This machine cannot run the scenario, or was too slow during the run for its result to count."""
 
 
-def descriptors() -> int:
-    """How many this process may have; the soft limit is raised to the hard one first."""
+def descriptor_limit() -> int:
+    """Raise the soft limit on file descriptors to the hard limit if allowed, and return the soft limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         with contextlib.suppress(ValueError, OSError):
@@ -61,110 +62,123 @@
 
 
 def unfit_reason(scenario: Scenario) -> str | None:
-    """Why the scenario does not fit this machine; none if it does."""
-    servers, lines = len(scenario.server_names()), scenario.standing / scenario.clients.message_every_s
-    needed = 2 * scenario.standing + SPARE
+    """Return why this machine cannot run the scenario, or `None` if it can."""
+    servers, lines_per_s = len(scenario.server_names()), scenario.standing / scenario.clients.message_every_s
+    needed_descriptors = 2 * scenario.standing + SPARE_DESCRIPTORS
     if scenario.balancers.count > BALANCERS_MAX:
-        return f"{scenario.balancers.count} balancers, {BALANCERS_MAX} at most"
+        return f"{scenario.balancers.count} balancers, at most {BALANCERS_MAX} are supported"
     if servers > SERVERS_MAX:
-        return f"{servers} servers, {SERVERS_MAX} at most"
-    if lines > LINES_MAX:
-        return f"{lines:.0f} lines a second, {LINES_MAX} at most"
-    if needed > descriptors():
-        return f"{needed} descriptors for a process, {descriptors()} here"
+        return f"{servers} servers, at most {SERVERS_MAX} are supported"
+    if lines_per_s > LINES_PER_S_MAX:
+        return f"{lines_per_s:.0f} lines per second, at most {LINES_PER_S_MAX} are supported"
+    if needed_descriptors > descriptor_limit():
+        return f"{needed_descriptors} file descriptors needed per process, the limit is {descriptor_limit()}"
     if 2 * scenario.standing / scenario.balancers.count > 0.9 * scenario.balancers.sockets:
-        return f"balancers.sockets: {scenario.balancers.sockets} are too few for the standing connections"
+        return f"balancers.sockets: {scenario.balancers.sockets} are too few for the initial connections"
     return None
 
 
 def loopback_address() -> str:
-    """A loopback address of this process's own: no other run, and no outgoing connection, takes its ports."""
+    """Return a loopback address derived from the process id.
+
+    Each run has an address of its own, so that no other run and no outgoing connection takes its ports.
+    """
     pid = os.getpid()
     return f"127.{64 + pid // 62_500 % 128}.{pid // 250 % 250}.{pid % 250 + 1}"
 
 
 def free_ports(host: str, count: int) -> list[int]:
-    """Free ports; all are held until the last is found, then given back for the stand-ins to take."""
-    found: list[socket.socket] = []
+    """Return distinct free ports of `host`.
+
+    All stay bound until the last is found, then all are released for the caller's processes to listen on.
+    """
+    bound_sockets: list[socket.socket] = []
     try:
         for _ in range(count):
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind((host, 0))
-            found.append(sock)
-        return [sock.getsockname()[1] for sock in found]
+            bound_sockets.append(sock)
+        return [sock.getsockname()[1] for sock in bound_sockets]
     finally:
-        for sock in found:
+        for sock in bound_sockets:
             sock.close()
 
 
 class Runner:
-    """One live run."""
+    """The processes of one live run."""
 
-    def __init__(self, scenario: Scenario, seed: int, against: Path | None, folder: Path) -> None:
+    def __init__(self, scenario: Scenario, seed: int, other_checkout: Path | None, folder: Path) -> None:
+        """Choose the ports and build the plan; balancers are started from `other_checkout` if it is given.
+
+        `folder` receives the plan, the configurations, the logs and the records.
+        """
         self.scenario, self.seed, self.folder = scenario, seed, folder
-        self.checkout = against or ROOT
+        self.checkout = other_checkout or ROOT
         self.timeline = expand(scenario, seed)
-        self.places = places(scenario)
+        self.specs = places(scenario)
         zones, count = len(scenario.zones), scenario.balancers.count
         self.host = loopback_address()
-        free = iter(free_ports(self.host, len(self.places) * zones + 2 * count))
+        ports = iter(free_ports(self.host, len(self.specs) * zones + 2 * count))
         self.plan: dict[str, Any] = {
             "scenario": scenario.model_dump(),
             "seed": seed,
             "host": self.host,
-            "servers": {each.name: [next(free) for _ in range(zones)] for each in self.places},
-            "discovery": [next(free) for _ in range(count)],
-            "balancers": [next(free) for _ in range(count)],
+            "servers": {each.name: [next(ports) for _ in range(zones)] for each in self.specs},
+            "discovery": [next(ports) for _ in range(count)],
+            "balancers": [next(ports) for _ in range(count)],
         }
-        self.parts: dict[str, asyncio.subprocess.Process] = {}
+        self.lab_processes: dict[str, asyncio.subprocess.Process] = {}
         self.balancers: dict[int, asyncio.subprocess.Process] = {}
-        self.died: list[tuple[float, str, bool]] = []
+        self.balancer_exits: list[tuple[float, str, bool]] = []  # time in the run, name, whether planned
         self.notes: list[str] = []
-        self.crashed: list[str] = []
-        self._zero = 0.0
+        self.crashes: list[str] = []
+        self._start_monotonic_s = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._ending = False
-        self._meant: set[int] = set()  # processes that we end ourselves
-        self.balancer_environment: dict[str, str] = {}  # what balancers are told besides
+        self._stopping = False
+        self._stopped_pids: set[int] = set()  # balancer processes that the runner ends itself
+        self.balancer_environment: dict[str, str] = {}  # added to the environment of balancers
 
     def now(self) -> float:
-        """Seconds since the start."""
-        return time.monotonic() - self._zero
+        """Return the seconds since the start of the run."""
+        return time.monotonic() - self._start_monotonic_s
 
-    def records(self, part: str) -> Path:
-        """Where a part writes what it saw."""
-        return self.folder / f"{part}.records"
+    def records_path(self, name: str) -> Path:
+        """Return the path of the record file of a lab process."""
+        return self.folder / f"{name}.records"
 
     async def start_lab_process(self, name: str) -> None:
-        """Start one of the lab's processes."""
+        """Start one of the lab's processes: `servers`, `discovery` or `clients`."""
         plan = self.folder / "plan.json"
-        self.parts[name] = await asyncio.create_subprocess_exec(
+        self.lab_processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             f"switchhub.lab.live.{name}",
             str(plan),
-            str(self.records(name)),
+            str(self.records_path(name)),
             cwd=ROOT,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
 
-    async def wait_until_ready(self, name: str, within: float) -> None:
-        """Wait for its word; `RuntimeError` if it has another."""
-        out = self.parts[name].stdout
-        assert out is not None
-        async with asyncio.timeout(within):
-            line = await out.readline()
+    async def wait_until_ready(self, name: str, timeout_s: float) -> None:
+        """Wait until a lab process reports ready.
+
+        Raises `RuntimeError` if it exits or writes another line, `TimeoutError` after `timeout_s`.
+        """
+        stdout = self.lab_processes[name].stdout
+        assert stdout is not None
+        async with asyncio.timeout(timeout_s):
+            line = await stdout.readline()
         if line != b"ready\n":
-            raise RuntimeError(f"the {name} of the lab did not start")
+            raise RuntimeError(f"lab process {name} did not start: expected 'ready', got {line!r}")
 
-    def _configure(self, index: int) -> Path:
+    def _write_configuration(self, index: int) -> Path:
         scenario = self.scenario
         zone = told.zone_of(scenario, index)
         path = self.folder / f"b{index}.json"
-        listing = [
+        server_entries = [
             {
                 "id": each.name,
                 "addr": f"{self.host}:{self.plan['servers'][each.name][zone]}",
@@ -175,117 +189,125 @@
                 "weight": 1.0,
                 "started_ms": 0,
             }
-            for each in self.places
+            for each in self.specs
         ]
-        config = {
+        configuration = {
             "name": f"b{index}",
             "listen": f"{self.host}:{self.plan['balancers'][index]}",
             "discovery": f"{self.host}:{self.plan['discovery'][index]}",
             "seed": f"{(self.seed * 1000 + index) * 2654435761 % 2**64:016x}",
             "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": scenario.balancers.sockets},
-            "known": {"version": 1, "full": True, "servers": listing},
+            "known": {"version": 1, "full": True, "servers": server_entries},
             "settings": told.nested(scenario, index),
         }
-        path.write_text(json.dumps(config), encoding="utf-8")
+        path.write_text(json.dumps(configuration), encoding="utf-8")
         return path
 
     async def start_balancer(self, index: int) -> None:
-        """Start a balancer."""
-        config = self._configure(index)
-        sockets = min(self.scenario.balancers.sockets, descriptors())
+        """Start a balancer with its configuration; its output is appended to its log file."""
+        configuration_path = self._write_configuration(index)
+        max_descriptors = min(self.scenario.balancers.sockets, descriptor_limit())
         with (self.folder / f"b{index}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "switchhub",
                 cwd=self.checkout,
-                env={**os.environ, **self.balancer_environment, "BALANCER_CONFIG": str(config)},
+                env={**os.environ, **self.balancer_environment, "BALANCER_CONFIG": str(configuration_path)},
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
+                preexec_fn=lambda: resource.setrlimit(
+                    resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors)
+                ),
             )
         self.balancers[index] = process
-        self._task(self._watch(index, process))
+        self._start_task(self._watch_for_crash(index, process))
 
-    def _task(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _watch(self, index: int, process: asyncio.subprocess.Process) -> None:
-        """A balancer that ends by itself has crashed."""
+    async def _watch_for_crash(self, index: int, process: asyncio.subprocess.Process) -> None:
+        """Record a crash if the balancer exits without having been stopped by the runner."""
         status = await process.wait()
-        if not self._ending and process.pid not in self._meant:
-            self.died.append((self.now(), f"b{index}", False))
-            self.crashed.append(f"b{index} ended by itself with status {status} at {self.now():.2f} s")
+        if not self._stopping and process.pid not in self._stopped_pids:
+            self.balancer_exits.append((self.now(), f"b{index}", False))
+            self.crashes.append(f"b{index} ended by itself with status {status} at {self.now():.2f} s")
 
-    async def _trouble(self, each: Interval) -> None:
-        index = int(each.target[1:])
-        await asyncio.sleep(max(0.0, each.start - self.now()))
+    async def _apply_trouble(self, interval: Interval) -> None:
+        index = int(interval.target[1:])
+        await asyncio.sleep(max(0.0, interval.start - self.now()))
         process = self.balancers[index]
         if process.returncode is not None:
             return
-        if each.effect == "balancer-reload":
+        if interval.effect == "balancer-reload":
             process.send_signal(signal.SIGHUP)
             return
-        self._meant.add(process.pid)
-        if each.effect == "balancer-die":
-            self.died.append((self.now(), f"b{index}", False))
+        self._stopped_pids.add(process.pid)
+        if interval.effect == "balancer-die":
+            self.balancer_exits.append((self.now(), f"b{index}", False))
             process.kill()
             await process.wait()
-            await asyncio.sleep(max(0.0, each.end - self.now()))
+            await asyncio.sleep(max(0.0, interval.end - self.now()))
         else:
             process.terminate()
             try:
-                async with asyncio.timeout(STOPPED_WITHIN):
+                async with asyncio.timeout(BALANCER_STOP_TIMEOUT_S):
                     await process.wait()
             except TimeoutError:
-                self.notes.append(f"b{index} had not ended {STOPPED_WITHIN} s after SIGTERM")
+                self.notes.append(
+                    f"b{index} had not ended {BALANCER_STOP_TIMEOUT_S} s after SIGTERM and was killed"
+                )
                 process.kill()
                 await process.wait()
-            self.died.append((self.now(), f"b{index}", True))
-            await asyncio.sleep(each.end - each.start)
-        if not self._ending and self.now() < self.scenario.seconds:
+            self.balancer_exits.append((self.now(), f"b{index}", True))
+            await asyncio.sleep(interval.end - interval.start)
+        if not self._stopping and self.now() < self.scenario.seconds:
             await self.start_balancer(index)
 
-    async def play(self) -> None:
-        """From the first process to the last."""
+    async def run(self) -> None:
+        """Start all processes, run the scenario, and stop all processes.
+
+        Raises `RuntimeError` if a lab process does not start or exits with an error, and `TimeoutError` if
+        one is not ready or has not exited in time.
+        """
         (self.folder / "plan.json").write_text(json.dumps(self.plan), encoding="utf-8")
         try:
             for name in ("servers", "discovery"):
                 await self.start_lab_process(name)
             for name in ("servers", "discovery"):
-                await self.wait_until_ready(name, STARTED_WITHIN)
+                await self.wait_until_ready(name, START_TIMEOUT_S)
             for index in range(self.scenario.balancers.count):
                 await self.start_balancer(index)
             await self.start_lab_process("clients")
-            await self.wait_until_ready("clients", STANDING_WITHIN)
-            self._zero = time.monotonic() + LEAD
-            word = f"start {self._zero!r} {(time.time() + LEAD) * 1000!r}\n".encode()
-            for part in self.parts.values():
-                assert part.stdin is not None
-                part.stdin.write(word)
-            for each in self.timeline.of("balancer-die", "balancer-restart", "balancer-reload"):
-                self._task(self._trouble(each))
-            await asyncio.sleep(LEAD + self.scenario.seconds)
-            self._ending = True
+            await self.wait_until_ready("clients", CLIENTS_READY_TIMEOUT_S)
+            self._start_monotonic_s = time.monotonic() + START_DELAY_S
+            command = f"start {self._start_monotonic_s!r} {(time.time() + START_DELAY_S) * 1000!r}\n".encode()
+            for process in self.lab_processes.values():
+                assert process.stdin is not None
+                process.stdin.write(command)
+            for interval in self.timeline.of("balancer-die", "balancer-restart", "balancer-reload"):
+                self._start_task(self._apply_trouble(interval))
+            await asyncio.sleep(START_DELAY_S + self.scenario.seconds)
+            self._stopping = True
             for name in ("clients", "servers", "discovery"):
-                part = self.parts[name]
-                assert part.stdin is not None
-                part.stdin.close()
-                async with asyncio.timeout(ENDED_WITHIN):
-                    if await part.wait():
-                        raise RuntimeError(f"the {name} of the lab ended with status {part.returncode}")
+                process = self.lab_processes[name]
+                assert process.stdin is not None
+                process.stdin.close()
+                async with asyncio.timeout(EXIT_TIMEOUT_S):
+                    if await process.wait():
+                        raise RuntimeError(f"lab process {name} exited with status {process.returncode}")
         finally:
             await self.stop_all()
 
     async def stop_all(self) -> None:
-        """End every process, whatever it does."""
-        self._ending = True
+        """Kill every process that still runs, and wait until all have exited."""
+        self._stopping = True
         for task in self._tasks:
             task.cancel()
-        processes = (*self.parts.values(), *self.balancers.values())
+        processes = (*self.lab_processes.values(), *self.balancers.values())
         for process in processes:
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
@@ -293,104 +315,113 @@
         for process in processes:
             await process.wait()
 
-    # What the parts wrote down.
-
-    def seen(self) -> Iterator[list[Any]]:
-        """All records in the order of time."""
+    def read_records(self) -> Iterator[list[Any]]:
+        """Return the records of all lab processes and the exits of balancers, in the order of time."""
         records: list[list[Any]] = []
-        for name in self.parts:
-            for line in self.records(name).read_text(encoding="utf-8").splitlines():
+        for name in self.lab_processes:
+            for line in self.records_path(name).read_text(encoding="utf-8").splitlines():
                 records.append(json.loads(line))
-        records += [[at, "died", name, planned] for at, name, planned in self.died]
-        records.sort(key=lambda each: each[0])
+        records += [[at, "died", name, planned] for at, name, planned in self.balancer_exits]
+        records.sort(key=lambda record: record[0])
         return iter(records)
 
 
-def judge(runner: Runner, ignore_lateness: bool = False) -> tuple[Judge, Tally]:
-    """Feed the judge and the tally; `UnfitError` if a stand-in was too late for the run to mean anything."""
+def check_records(runner: Runner, ignore_lateness: bool = False) -> tuple[Judge, Tally]:
+    """Pass the records of a finished run to a checker and to the statistics, and return both.
+
+    Raises `UnfitError` if a lab process ran so late that the run says nothing about the balancers, unless
+    `ignore_lateness` is set.
+    """
     scenario = runner.scenario
-    zones = {each.name: each.zone for each in runner.places}
-    cells = {each.name: each.cell for each in runner.places}
-    seen, tally = Judge(scenario, zones, cells, SLACK), Tally(scenario)
+    zones = {each.name: each.zone for each in runner.specs}
+    cells = {each.name: each.cell for each in runner.specs}
+    checker, statistics = Judge(scenario, zones, cells, TIME_SLACK_S), Tally(scenario)
     end = scenario.seconds
-    for at, what, *rest in runner.seen():
-        if what == "lateness":
-            looks, late, worst = rest
-            if not ignore_lateness and (worst > LATE_MOST or late > LATE_PART * looks):
-                raise UnfitError(f"a stand-in was late at {late} of {looks} looks, {worst} s at most")
+    for at, event, *values in runner.read_records():
+        if event == "lateness":
+            checks, late_checks, max_lateness_s = values
+            if not ignore_lateness and (
+                max_lateness_s > LATENESS_MAX_S or late_checks > LATE_CHECK_FRACTION_MAX * checks
+            ):
+                raise UnfitError(
+                    f"a lab process was late at {late_checks} of {checks} checks, by up to {max_lateness_s} s"
+                )
             continue
         if at > end:
             continue
-        if what == "opened":
-            seen.opened(at, *rest)
-        elif what == "adopted":
-            seen.adopted(*rest)
-        elif what == "answered":
-            name, line, took, kind = rest
-            seen.answered(at, name, line)
-            word = line.partition(" ")[0]
-            tally.answer(at, kind, {"UP": "served", "BUSY": "refused"}.get(word, "failed"))
-            if word == "UP":
-                tally.setups.add(took)
-        elif what == "got":
-            seen.line_got(at, *rest)
-        elif what == "back":
-            name, number, took, kind, sent = rest
-            seen.line_back(at, name, number)
-            if took >= 0:
-                tally.messages.add(took)
-                if took * 1000 <= scenario.classes[kind].message_aim_ms:
-                    tally.good[kind][tally.step(sent)] += 1
-        elif what == "wanted":
-            tally.wanted[rest[0]][tally.step(at)] += 1
-        elif what == "event":
-            tally.event(at, rest[0])
-        elif what == "died":
-            seen.died(at, *rest)
-        elif what == "started":
-            seen.server_started(at, rest[0], rest[1])
-        elif what == "fell":
-            tally.event(at, "servers.fallen")
-            seen.fell(at, *rest)
-        elif what == "told":
-            seen.told(at, *rest)
+        if event == "opened":
+            checker.opened(at, *values)
+        elif event == "adopted":
+            checker.adopted(*values)
+        elif event == "answered":
+            name, line, duration_s, class_index = values
+            checker.answered(at, name, line)
+            keyword = line.partition(" ")[0]
+            statistics.answer(at, class_index, {"UP": "served", "BUSY": "refused"}.get(keyword, "failed"))
+            if keyword == "UP":
+                statistics.setups.add(duration_s)
+        elif event == "got":
+            checker.line_got(at, *values)
+        elif event == "back":
+            name, number, duration_s, class_index, sent_at = values
+            checker.line_back(at, name, number)
+            if duration_s >= 0:
+                statistics.messages.add(duration_s)
+                if duration_s * 1000 <= scenario.classes[class_index].message_aim_ms:
+                    statistics.good[class_index][statistics.step(sent_at)] += 1
+        elif event == "wanted":
+            statistics.wanted[values[0]][statistics.step(at)] += 1
+        elif event == "event":
+            statistics.event(at, values[0])
+        elif event == "died":
+            checker.died(at, *values)
+        elif event == "started":
+            checker.server_started(at, values[0], values[1])
+        elif event == "fell":
+            statistics.event(at, "servers.fallen")
+            checker.fell(at, *values)
+        elif event == "told":
+            checker.told(at, *values)
         else:
-            getattr(seen, what)(at, *rest)
-    seen.finish(end)
-    return seen, tally
+            getattr(checker, event)(at, *values)
+    checker.finish(end)
+    return checker, statistics
 
 
 def run_live(
-    scenario: Scenario, seed: int, against: Path | None = None, ignore_lateness: bool = False
+    scenario: Scenario, seed: int, other_checkout: Path | None = None, ignore_lateness: bool = False
 ) -> dict[str, Any]:
-    """The result of one live run; `unfit` in it says that it does not count, and why.
+    """Run a scenario live and return its result data; the key `unfit` says why a run does not count.
 
-    A live run goes on to its end; what broke first is told first."""
-    why = unfit_reason(scenario)
-    tally, broken, notes = Tally(scenario), [], []
+    A live run always goes on to its end; violations are listed in the order in which they happened. The run's
+    directory is deleted unless SWITCHHUB_LAB_KEEP is set."""
+    reason = unfit_reason(scenario)
+    statistics, violations, notes = Tally(scenario), [], []
     folder = Path(tempfile.mkdtemp(prefix="switchhub-lab-"))
     try:
-        if why is not None:
-            raise UnfitError(f"does not fit this machine: {why}")
-        runner = Runner(scenario, seed, against, folder)
-        asyncio.run(runner.play())
-        seen, tally = judge(runner, ignore_lateness)
-        broken, notes = seen.broken, runner.notes + runner.crashed
-        if seen.untold:
-            notes.append(f"{seen.untold} cold servers fell by those that were not told of their start")
+        if reason is not None:
+            raise UnfitError(f"does not fit this machine: {reason}")
+        runner = Runner(scenario, seed, other_checkout, folder)
+        asyncio.run(runner.run())
+        checker, statistics = check_records(runner, ignore_lateness)
+        violations, notes = checker.broken, runner.notes + runner.crashes
+        if checker.untold:
+            notes.append(
+                f"{checker.untold} cold servers crashed under load from balancers not notified of their start"
+            )
     except UnfitError as error:
-        why = str(error)
-        logger.error("unfit: {}", why)
+        reason = str(error)
+        logger.error("live run of scenario {} is unfit and does not count: {}", scenario.name, reason)
     finally:
         if os.environ.get("SWITCHHUB_LAB_KEEP"):
-            logger.info("kept: {}", folder)
+            logger.info("run directory kept: {}", folder)
         else:
             shutil.rmtree(folder, ignore_errors=True)
-    policy = "design" if against is None else "against"
-    met = names_met(scenario, expand(scenario, seed))
-    found = result(scenario, seed, "live", policy, tally, broken, met)
-    found["notes"] = notes
-    found["crashed"] = bool(why is None and any("ended by itself" in each for each in notes))
-    if why is not None:
-        found["unfit"] = why
-    return found
+    policy = "design" if other_checkout is None else "against"
+    target_counts = names_met(scenario, expand(scenario, seed))
+    data = result(scenario, seed, "live", policy, statistics, violations, target_counts)
+    data["notes"] = notes
+    data["crashed"] = bool(reason is None and any("ended by itself" in each for each in notes))
+    if reason is not None:
+        data["unfit"] = reason
+    return data
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: a sound run is never accused, a mutant is caught, nothing is left behind."""
+"""Live runs with real processes: correct balancers pass, mutants are caught, no process is left behind."""
 
 from __future__ import annotations
 
@@ -30,35 +30,36 @@
 ]
 
 
-def left_behind(folder: Path) -> list[str]:
-    """Processes that work in this folder."""
+def processes_using(folder: Path) -> list[str]:
+    """Return the processes other than this one whose command line or environment names the folder."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
             try:
-                told = (entry / "cmdline").read_bytes() + (entry / "environ").read_bytes()
+                start_data = (entry / "cmdline").read_bytes() + (entry / "environ").read_bytes()
                 state = (entry / "stat").read_text().rpartition(")")[2].split()[0]
             except OSError:
                 continue
-            if str(folder).encode() in told and state != "Z":
-                found.append(told.decode(errors="replace")[:200])
+            if str(folder).encode() in start_data and state != "Z":
+                found.append(start_data.decode(errors="replace")[:200])
     return found
 
 
-def test_a_sound_run_through_troubles_is_never_accused(tmp_path: Path, monkeypatch: Any) -> None:
+def test_correct_balancers_pass_a_run_with_troubles(tmp_path: Path, monkeypatch: Any) -> None:
+    """A checker or a lab process with a fault of its own would report violations of correct balancers."""
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-    for _ in range(3):  # a run that this machine was too slow for says so and is not judged
-        found = runner.run_live(small("calm", troubles=TROUBLES), 1)
-        if "unfit" not in found:
+    for _ in range(3):  # a run for which this machine was too slow is reported as unfit and not checked
+        result = runner.run_live(small("calm", troubles=TROUBLES), 1)
+        if "unfit" not in result:
             break
-    assert "unfit" not in found
-    assert found["broken"] == [] and not found["crashed"]
-    assert found["service"] > 0.6
-    assert found["counts"]["clients.dropped"] and found["counts"]["clients.broken"]
-    assert not left_behind(tmp_path) and not list(tmp_path.iterdir())
+    assert "unfit" not in result
+    assert result["broken"] == [] and not result["crashed"]
+    assert result["service"] > 0.6
+    assert result["counts"]["clients.dropped"] and result["counts"]["clients.broken"]
+    assert not processes_using(tmp_path) and not list(tmp_path.iterdir())
 
 
-# What is changed in the relay of a copy of the program, and what the judge calls it.
+# Each mutant: a line of the session's code, its replacement, and the violation that the checker must report.
 LIVE_MUTANTS = [
     (
         "await self._to_server(lines)\n",
@@ -73,21 +74,22 @@
 ]
 
 
-@pytest.mark.parametrize(("sound", "mutant", "called"), LIVE_MUTANTS, ids=lambda each: str(each)[:14])
-def test_a_mutant_of_the_real_program_is_caught(sound: str, mutant: str, called: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("original", "mutant", "violation"), LIVE_MUTANTS, ids=lambda each: str(each)[:14])
+def test_mutant_of_the_real_balancer_is_caught(
+    original: str, mutant: str, violation: str, tmp_path: Path
+) -> None:
     shutil.copytree(ROOT / "switchhub", tmp_path / "switchhub", ignore=shutil.ignore_patterns("__pycache__"))
     session = tmp_path / "switchhub" / "net" / "session.py"
     text = session.read_text()
-    assert text.count(sound) == 1
-    session.write_text(text.replace(sound, mutant))
-    found = runner.run_live(
-        small("calm", seconds=4.5), 1, tmp_path, ignore_lateness=True
-    )  # time plays no part in these
-    assert called in {each["name"] for each in found["broken"]}
-    assert found["broken"][0]["story"]
+    assert text.count(original) == 1
+    session.write_text(text.replace(original, mutant))
+    # These violations do not depend on timing, so a slow machine does not matter.
+    result = runner.run_live(small("calm", seconds=4.5), 1, tmp_path, ignore_lateness=True)
+    assert violation in {each["name"] for each in result["broken"]}
+    assert result["broken"][0]["story"]
 
 
-def test_what_does_not_fit_is_refused_before_anything_starts(tmp_path: Path, capsys: Any) -> None:
+def test_unfit_scenario_is_refused_before_a_process_starts(tmp_path: Path, capsys: Any) -> None:
     file = tmp_path / "wide.toml"
     file.write_text(scenario_to_toml(data(balancers={"count": 200})))
     begin = time.monotonic()
@@ -97,7 +99,7 @@
     assert main(["run", str(file), "--engine", "live", "--policy", "plain"]) == 2
 
 
-def test_an_interrupt_ends_every_process(tmp_path: Path) -> None:
+def test_interrupt_stops_every_process(tmp_path: Path) -> None:
     env = {**os.environ, "TMPDIR": str(tmp_path)}
     command = [sys.executable, "-m", "switchhub", "lab", "run", "lab/scenarios/calm.toml", "--engine", "live"]
     process = subprocess.Popen(
@@ -105,12 +107,14 @@
         cwd=ROOT,
         env=env,
         stderr=subprocess.PIPE,
-        # Danger: what a shell starts in the background has SIGINT ignored, and so have its children.
+        # A shell starts background jobs with SIGINT ignored, and children inherit that: without this line
+        # the signal below would have no effect when the tests run in the background.
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     try:
         until = time.monotonic() + 20
-        while len(left_behind(tmp_path)) < 7 and time.monotonic() < until:  # itself, three parts, balancers
+        # The runner itself, three lab processes and the balancers.
+        while len(processes_using(tmp_path)) < 7 and time.monotonic() < until:
             time.sleep(0.05)
         process.send_signal(signal.SIGINT)
         assert process.wait(timeout=20) == 130
@@ -118,30 +122,30 @@
         process.kill()
         process.communicate()
     until = time.monotonic() + 5
-    while left_behind(tmp_path) and time.monotonic() < until:
+    while processes_using(tmp_path) and time.monotonic() < until:
         time.sleep(0.05)
-    assert not left_behind(tmp_path)
+    assert not processes_using(tmp_path)
     assert not list(tmp_path.glob("switchhub-lab-*"))
 
 
-def test_the_ports_of_two_runs_are_their_own() -> None:
+def test_run_has_its_own_loopback_address_and_distinct_ports() -> None:
     host = runner.loopback_address()
     assert host.startswith("127.") and host != "127.0.0.1"
     assert len(set(runner.free_ports(host, 50))) == 50
 
 
-def test_a_balancer_that_ends_by_itself_is_a_crash(tmp_path: Path) -> None:
+def test_balancer_that_exits_by_itself_is_reported_as_a_crash(tmp_path: Path) -> None:
     package = tmp_path / "switchhub"
     package.mkdir()
     (package / "__init__.py").write_text("")
     (package / "__main__.py").write_text("import sys; sys.exit(3)\n")
 
-    async def started() -> runner.Runner:
-        one = runner.Runner(small("calm"), 1, tmp_path, tmp_path)
-        await one.start_balancer(0)
-        await one.balancers[0].wait()
+    async def run_one_balancer() -> runner.Runner:
+        live_run = runner.Runner(small("calm"), 1, tmp_path, tmp_path)
+        await live_run.start_balancer(0)
+        await live_run.balancers[0].wait()
         await asyncio.sleep(0.05)
-        await one.stop_all()
-        return one
+        await live_run.stop_all()
+        return live_run
 
-    assert "status 3" in asyncio.run(started()).crashed[0]
+    assert "status 3" in asyncio.run(run_one_balancer()).crashes[0]
