--- a/switchhub/lab/live/clients.py
+++ b/switchhub/lab/live/clients.py
@@ -12,10 +12,10 @@
 from random import Random
 from typing import Any
 
+from switchhub.lab.fake_server import server_specs
 from switchhub.lab.live.lab_process import LabProcess, Plan, notify_runner, reset_transport, run
-from switchhub.lab.model import FRONT_OUT, PROMPT
-from switchhub.lab.population import Client, Front, Patience, arrivals, standing
-from switchhub.lab.stand_in import places
+from switchhub.lab.model import IMMEDIATE_ANSWER_MAX_S, STOP_DISPATCH_DELAY_S
+from switchhub.lab.population import Client, Dispatcher, RetryPolicy, arriving_clients, initial_clients
 from switchhub.lab.timeline import FOREVER, Interval
 
 PING_INTERVAL_S = 0.1
@@ -42,7 +42,7 @@
         """Send the first line."""
         self.transport = transport
         client, scenario = self.client, self.process.scenario
-        connection_class = scenario.classes[client.kind]
+        connection_class = scenario.classes[client.class_index]
         fields = [
             f"c={connection_class.name}",
             f"t={scenario.tenants[client.tenant].name}",
@@ -52,19 +52,23 @@
             fields.append(f"h={client.hint:.0f}")
         if client.group is not None:
             fields.append(f"g={client.group}")
-        if client.again:
+        if client.returning:
             fields.append("again=1")
         if client.retried and scenario.clients.marks_retries:
             fields.append("r=1")
         if self.server:
             fields.append(f"at={self.server}")
-            self.process.record("adopted", self.name, f"b{client.balancer}", client.kind, self.server)
+            self.process.record("adopted", self.name, f"b{client.balancer}", client.class_index, self.server)
         else:
             self.opened_at = self.process.now()
             self.process.record(
-                "opened", self.name, f"b{client.balancer}", client.kind, connection_class.deadline_ms / 1000
+                "opened",
+                self.name,
+                f"b{client.balancer}",
+                client.class_index,
+                connection_class.deadline_ms / 1000,
             )
-        transport.write(f"OPEN {self.name} {client.key} {','.join(fields)}\r\n".encode())
+        transport.write(f"OPEN {self.name} {client.flow_key} {','.join(fields)}\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
         """Handle the complete lines from the balancer."""
@@ -77,7 +81,11 @@
         if not self.answer or keyword in ("UP", "BUSY", "FAILED"):
             if not self.server:
                 process.record(
-                    "answered", self.name, line, round(process.now() - self.opened_at, 6), self.client.kind
+                    "answered",
+                    self.name,
+                    line,
+                    round(process.now() - self.opened_at, 6),
+                    self.client.class_index,
                 )
             if not self.answer:
                 self.answer = line
@@ -91,7 +99,12 @@
             sent_at = self.send_times.pop(number, None)
             round_trip_s = process.now() - sent_at if sent_at is not None else -1.0
             process.record(
-                "back", self.name, number, round(round_trip_s, 6), self.client.kind, round(sent_at or 0.0, 6)
+                "back",
+                self.name,
+                number,
+                round(round_trip_s, 6),
+                self.client.class_index,
+                round(sent_at or 0.0, 6),
             )
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -138,12 +151,12 @@
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.dispatcher, self._retry_policy = Front(self.scenario), Patience(self.scenario, plan.seed)
+        self.dispatcher, self._retry_policy = Dispatcher(self.scenario), RetryPolicy(self.scenario, plan.seed)
         self._message_interval_s = self.scenario.clients.message_every_s
         self._connections: dict[int, ClientConnection] = {}  # by client index
         self._connection_count = 0  # connections opened so far; gives each its name
         self._tasks: set[asyncio.Task[None]] = set()
-        self._initial_clients = standing(self.scenario, plan.seed)
+        self._initial_clients = initial_clients(self.scenario, plan.seed)
         self._initial_clients_answered = 0
 
     def start_task(self, work: Any) -> None:
@@ -160,7 +173,7 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             for index in range(self.scenario.balancers.count):
                 await self._wait_for_pong(index)
-        names = [each.name for each in places(self.scenario)]
+        names = [each.name for each in server_specs(self.scenario)]
         for number, client in enumerate(self._initial_clients):
             client.balancer = client.index % self.scenario.balancers.count
             self.start_task(self._connect(client, names[number % len(names)]))
@@ -195,19 +208,21 @@
         for client in self._initial_clients:
             self._schedule_session(client)
         self._schedule_next_arrival(
-            arrivals(self.scenario, self.timeline, self.plan.seed, len(self._initial_clients))
+            arriving_clients(self.scenario, self.timeline, self.plan.seed, len(self._initial_clients))
         )
-        for interval in self.timeline.of("drop"):
+        for interval in self.timeline.with_effects("drop"):
             self.schedule(interval.start, self._drop_connections, interval.value)
-        for interval in self.timeline.of("balancer-die", "balancer-restart"):
+        for interval in self.timeline.with_effects("balancer-die", "balancer-restart"):
             notice_s = (
-                FRONT_OUT if interval.effect == "balancer-restart" else self.scenario.balancers.front_notice_s
+                STOP_DISPATCH_DELAY_S
+                if interval.effect == "balancer-restart"
+                else self.scenario.balancers.front_notice_s
             )
             self.schedule(interval.start + notice_s, self._remove_balancer, interval)
 
     def _remove_balancer(self, interval: Interval) -> None:
         balancer = int(interval.target[1:])
-        self.dispatcher.out(balancer)
+        self.dispatcher.remove(balancer)
         if interval.end < FOREVER:
             self.start_task(self._restore_balancer(balancer, interval))
 
@@ -217,12 +232,12 @@
         else:
             await asyncio.sleep(max(0.0, interval.end - self.now()))
         await self._wait_for_pong(balancer)
-        self.dispatcher.back(balancer)
+        self.dispatcher.restore(balancer)
 
     def _schedule_next_arrival(self, clients: Iterator[Client]) -> None:
         client = next(clients, None)
         if client is not None:
-            self.schedule(client.at, self._handle_arrival, client, clients)
+            self.schedule(client.arrives_at, self._handle_arrival, client, clients)
 
     def _handle_arrival(self, client: Client, clients: Iterator[Client]) -> None:
         self._schedule_session(client)
@@ -230,40 +245,42 @@
         self._schedule_next_arrival(clients)
 
     def _schedule_session(self, client: Client) -> None:
-        client.next_at = client.at + client.phase
-        self.schedule(client.next_at, self._send_message, client)
-        self.schedule(client.until, self._end_session, client)
+        client.next_message_at = client.arrives_at + client.message_phase
+        self.schedule(client.next_message_at, self._send_message, client)
+        self.schedule(client.leaves_at, self._end_session, client)
 
     def _send_message(self, client: Client) -> None:
-        if client.until <= self.now() or self.now() >= self.scenario.seconds:
+        if client.leaves_at <= self.now() or self.now() >= self.scenario.seconds:
             return
-        self.record("wanted", client.kind)
-        client.next_at += self._message_interval_s
-        self.schedule(client.next_at, self._send_message, client)
+        self.record("wanted", client.class_index)
+        client.next_message_at += self._message_interval_s
+        self.schedule(client.next_message_at, self._send_message, client)
         connection = self._connections.get(client.index)
-        if client.up and connection is not None and not connection.closed:
-            client.sent += 1
-            connection.send_times[client.sent] = self.now()
-            connection.transport.write(f"M {client.sent}\r\n".encode())
+        if client.is_up and connection is not None and not connection.closed:
+            client.lines_sent += 1
+            connection.send_times[client.lines_sent] = self.now()
+            connection.transport.write(f"M {client.lines_sent}\r\n".encode())
 
     def _open_connection(self, client: Client) -> None:
-        if self.now() >= min(client.until, self.scenario.seconds):
+        if self.now() >= min(client.leaves_at, self.scenario.seconds):
             return
-        client.balancer = self.dispatcher.deal()
+        client.balancer = self.dispatcher.next_balancer()
         if client.balancer < 0:
             self.record("event", "clients.no_balancer")
-            self.schedule(self.now() + self._retry_policy.after_break(client), self._open_connection, client)
+            self.schedule(
+                self.now() + self._retry_policy.delay_after_disconnect(client), self._open_connection, client
+            )
             return
-        event = "opens.again" if client.again else "opens.retry" if client.tries else "opens"
+        event = "opens.again" if client.returning else "opens.retry" if client.failed_tries else "opens"
         self.record("event", event)
         self.start_task(self._connect(client))
 
     async def _connect(self, client: Client, server: str = "") -> None:
         self._connection_count += 1
-        client.up, client.sent = False, 0
+        client.is_up, client.lines_sent = False, 0
         connection = ClientConnection(self, client, f"{self._connection_count:016x}", server)
         self._connections[client.index] = connection
-        deadline_s = self.scenario.classes[client.kind].deadline_ms / 1000
+        deadline_s = self.scenario.classes[client.class_index].deadline_ms / 1000
         try:
             async with asyncio.timeout(deadline_s):
                 await asyncio.get_running_loop().create_connection(
@@ -272,17 +289,19 @@
         except (OSError, TimeoutError):
             connection.closed = True
             self.record("event", "clients.no_balancer")
-            self.schedule(self.now() + self._retry_policy.after_break(client), self._open_connection, client)
+            self.schedule(
+                self.now() + self._retry_policy.delay_after_disconnect(client), self._open_connection, client
+            )
             return
         if not server:
-            self.schedule(self.now() + deadline_s + PROMPT, self._give_up, client, connection)
+            self.schedule(self.now() + deadline_s + IMMEDIATE_ANSWER_MAX_S, self._give_up, client, connection)
 
     def _give_up(self, client: Client, connection: ClientConnection) -> None:
         if connection.answer or connection.closed or self._connections.get(client.index) is not connection:
             return
         self.record("event", "clients.gave_up")
         self._connections.pop(client.index, None)
-        self._schedule_reconnect(client, self._retry_policy.after_answer(client, True))
+        self._schedule_reconnect(client, self._retry_policy.delay_after_answer(client, True))
         self.schedule(self.now() + LISTEN_AFTER_GIVING_UP_S, connection.close_connection)
 
     def handle_answer(self, connection: ClientConnection, line: str) -> None:
@@ -294,14 +313,14 @@
             return connection.close_connection()
         keyword, _, argument = line.partition(" ")
         if keyword == "UP":
-            client.up, client.tries, client.again, client.retried = True, 0, False, False
-            if self.now() >= client.until:
+            client.is_up, client.failed_tries, client.returning, client.retried = True, 0, False, False
+            if self.now() >= client.leaves_at:
                 self._end_session(client)
             return
         connection.close_connection()
         retry_after_ms = float(argument) if argument.replace(".", "").isdigit() else 0.0
         self._schedule_reconnect(
-            client, self._retry_policy.after_answer(client, keyword != "BUSY", retry_after_ms)
+            client, self._retry_policy.delay_after_answer(client, keyword != "BUSY", retry_after_ms)
         )
 
     def handle_disconnect(self, connection: ClientConnection, event: str) -> None:
@@ -311,12 +330,12 @@
         client = connection.client
         if self._connections.get(client.index) is connection:
             self.record("event", event)
-            self._schedule_reconnect(client, self._retry_policy.after_break(client))
+            self._schedule_reconnect(client, self._retry_policy.delay_after_disconnect(client))
 
     def _schedule_reconnect(self, client: Client, delay_s: float | None) -> None:
         """Open a new connection after `delay_s`; without a delay the client has no retries left."""
         self._connections.pop(client.index, None)
-        client.up = False
+        client.is_up = False
         if delay_s is None:
             self.record("event", "clients.out_of_patience")
         else:
@@ -324,8 +343,8 @@
 
     def _end_session(self, client: Client) -> None:
         connection = self._connections.get(client.index)
-        if client.up and connection is not None and self.now() >= client.until - 0.001:
-            client.up = False
+        if client.is_up and connection is not None and self.now() >= client.leaves_at - 0.001:
+            client.is_up = False
             del self._connections[client.index]
             connection.close_connection()
 
@@ -333,10 +352,12 @@
         rng = Random(f"{self.plan.seed}/drop")
         for client_index in sorted(self._connections):
             connection = self._connections[client_index]
-            if connection.client.up and rng.random() < share:
+            if connection.client.is_up and rng.random() < share:
                 connection.close_connection(abruptly=True)
                 self.record("event", "clients.dropped")
-                self._schedule_reconnect(connection.client, self._retry_policy.after_break(connection.client))
+                self._schedule_reconnect(
+                    connection.client, self._retry_policy.delay_after_disconnect(connection.client)
+                )
 
 
 OLD_BALANCER_STOPPED_AFTER_S = 4.5  # after SIGTERM; by then the old process has ended or been killed
--- a/switchhub/lab/live/discovery.py
+++ b/switchhub/lab/live/discovery.py
@@ -15,10 +15,10 @@
 
 import httptools
 
-from switchhub.lab import told
+from switchhub.lab import balancer_settings
+from switchhub.lab.fake_server import ServerSpec, server_specs
 from switchhub.lab.live.lab_process import LabProcess, Plan, notify_runner, run
-from switchhub.lab.stand_in import Place, places
-from switchhub.lab.timeline import Change, Heard, heard
+from switchhub.lab.timeline import DiscoveryUpdate, IntervalChange, discovery_updates
 
 WATCH_WAIT_MAX_S = 60.0
 
@@ -120,14 +120,14 @@
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.specs: list[Place] = places(self.scenario)
+        self.specs: list[ServerSpec] = server_specs(self.scenario)
         self._specs_by_name = {each.name: each for each in self.specs}
         # State of each server and the second of the run at which it started; 0: before the run.
         self.server_states = {each.name: ("Ready", 0.0) for each in self.specs}
         self.changed_in_version = {each.name: 1 for each in self.specs}
         self.version = 1
         self.waiting: set[BalancerConnection] = set()
-        self._delayed_updates: list[Heard] = []  # received while the list is stale
+        self._delayed_updates: list[DiscoveryUpdate] = []  # received while the list is stale
         self._active_troubles: dict[str, int] = {}  # number of active intervals by effect
         self._next_request_at = 0.0  # event loop time
         self._listeners: list[asyncio.Server] = []
@@ -146,7 +146,7 @@
         """Return the list entry of a server for a balancer; its port depends on the balancer's zone."""
         spec = self._specs_by_name[name]
         state, started_at = self.server_states[name]
-        port = self.plan.servers[name][told.zone_of(self.scenario, balancer)]
+        port = self.plan.servers[name][balancer_settings.balancer_zone(self.scenario, balancer)]
         return {
             "id": name,
             "addr": f"{self.plan.host}:{port}",
@@ -171,24 +171,24 @@
 
     def begin(self) -> None:
         """Schedule the updates of server states and the troubles of discovery."""
-        for update in heard(self.scenario, self.timeline):
+        for update in discovery_updates(self.scenario, self.timeline):
             self.schedule(update.at, self._apply_update, update)
         for change in self.timeline.changes:
             if change.interval.effect.startswith("roster-"):
                 self.schedule(change.at, self._apply_change, change)
 
-    def _apply_update(self, update: Heard) -> None:
+    def _apply_update(self, update: DiscoveryUpdate) -> None:
         if self.has_trouble("roster-stale"):
             self._delayed_updates.append(update)
             return
         self.version += 1
         self.record("knows", update.server, update.state)
-        self.server_states[update.server] = (update.state, update.born)
+        self.server_states[update.server] = (update.state, update.started_at)
         self.changed_in_version[update.server] = self.version
         for connection in list(self.waiting):
             connection.answer()
 
-    def _apply_change(self, change: Change) -> None:
+    def _apply_change(self, change: IntervalChange) -> None:
         effect = change.interval.effect
         self._active_troubles[effect] = self._active_troubles.get(effect, 0) + (1 if change.begins else -1)
         if change.begins and effect in ("roster-out", "roster-silent"):
--- a/switchhub/lab/live/lab_process.py
+++ b/switchhub/lab/live/lab_process.py
@@ -18,8 +18,8 @@
 
 import uvloop
 
-from switchhub.lab.scenario import Scenario, parse
-from switchhub.lab.timeline import Timeline, expand
+from switchhub.lab.scenario import Scenario, parse_scenario
+from switchhub.lab.timeline import Timeline, expand_troubles
 
 LATENESS_CHECK_INTERVAL_S = 0.02
 LATE_CHECK_MIN_S = 0.04  # a check later than this counts as late
@@ -29,9 +29,9 @@
     """The plan file that the runner writes for every process: scenario, seed and listening ports."""
 
     def __init__(self, data: dict[str, Any]) -> None:
-        self.scenario: Scenario = parse(data["scenario"])
+        self.scenario: Scenario = parse_scenario(data["scenario"])
         self.seed: int = data["seed"]
-        self.timeline: Timeline = expand(self.scenario, self.seed)
+        self.timeline: Timeline = expand_troubles(self.scenario, self.seed)
         self.host: str = data["host"]
         self.servers: dict[str, list[int]] = data["servers"]  # per server, one port per zone of balancers
         self.discovery: list[int] = data["discovery"]  # one port per balancer
--- a/switchhub/lab/live/runner.py
+++ b/switchhub/lab/live/runner.py
@@ -25,12 +25,12 @@
 
 from loguru import logger
 
-from switchhub.lab import told
-from switchhub.lab.judge import Judge
+from switchhub.lab import balancer_settings
+from switchhub.lab.checker import Checker
+from switchhub.lab.fake_server import server_specs
+from switchhub.lab.run_statistics import RunStatistics, result_data
 from switchhub.lab.scenario import Scenario
-from switchhub.lab.stand_in import places
-from switchhub.lab.tally import Tally, result
-from switchhub.lab.timeline import Interval, expand, names_met
+from switchhub.lab.timeline import Interval, count_targets, expand_troubles
 
 ROOT = Path(__file__).parent.parent.parent.parent  # of the checkout that this module belongs to
 TIME_SLACK_S = 0.05  # added to the checker's time limits, since sockets and processes add delay
@@ -63,8 +63,11 @@
 
 def unfit_reason(scenario: Scenario) -> str | None:
     """Return why this machine cannot run the scenario, or `None` if it can."""
-    servers, lines_per_s = len(scenario.server_names()), scenario.standing / scenario.clients.message_every_s
-    needed_descriptors = 2 * scenario.standing + SPARE_DESCRIPTORS
+    servers, lines_per_s = (
+        len(scenario.server_names()),
+        scenario.standing_connections / scenario.clients.message_every_s,
+    )
+    needed_descriptors = 2 * scenario.standing_connections + SPARE_DESCRIPTORS
     if scenario.balancers.count > BALANCERS_MAX:
         return f"{scenario.balancers.count} balancers, at most {BALANCERS_MAX} are supported"
     if servers > SERVERS_MAX:
@@ -73,7 +76,7 @@
         return f"{lines_per_s:.0f} lines per second, at most {LINES_PER_S_MAX} are supported"
     if needed_descriptors > descriptor_limit():
         return f"{needed_descriptors} file descriptors needed per process, the limit is {descriptor_limit()}"
-    if 2 * scenario.standing / scenario.balancers.count > 0.9 * scenario.balancers.sockets:
+    if 2 * scenario.standing_connections / scenario.balancers.count > 0.9 * scenario.balancers.sockets:
         return f"balancers.sockets: {scenario.balancers.sockets} are too few for the initial connections"
     return None
 
@@ -115,8 +118,8 @@
         """
         self.scenario, self.seed, self.folder = scenario, seed, folder
         self.checkout = other_checkout or ROOT
-        self.timeline = expand(scenario, seed)
-        self.specs = places(scenario)
+        self.timeline = expand_troubles(scenario, seed)
+        self.specs = server_specs(scenario)
         zones, count = len(scenario.zones), scenario.balancers.count
         self.host = loopback_address()
         ports = iter(free_ports(self.host, len(self.specs) * zones + 2 * count))
@@ -176,7 +179,7 @@
 
     def _write_configuration(self, index: int) -> Path:
         scenario = self.scenario
-        zone = told.zone_of(scenario, index)
+        zone = balancer_settings.balancer_zone(scenario, index)
         path = self.folder / f"b{index}.json"
         server_entries = [
             {
@@ -198,7 +201,7 @@
             "seed": f"{(self.seed * 1000 + index) * 2654435761 % 2**64:016x}",
             "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": scenario.balancers.sockets},
             "known": {"version": 1, "full": True, "servers": server_entries},
-            "settings": told.nested(scenario, index),
+            "settings": balancer_settings.configuration(scenario, index),
         }
         path.write_text(json.dumps(configuration), encoding="utf-8")
         return path
@@ -288,7 +291,7 @@
             for process in self.lab_processes.values():
                 assert process.stdin is not None
                 process.stdin.write(command)
-            for interval in self.timeline.of("balancer-die", "balancer-restart", "balancer-reload"):
+            for interval in self.timeline.with_effects("balancer-die", "balancer-restart", "balancer-reload"):
                 self._start_task(self._apply_trouble(interval))
             await asyncio.sleep(START_DELAY_S + self.scenario.seconds)
             self._stopping = True
@@ -326,7 +329,7 @@
         return iter(records)
 
 
-def check_records(runner: Runner, ignore_lateness: bool = False) -> tuple[Judge, Tally]:
+def check_records(runner: Runner, ignore_lateness: bool = False) -> tuple[Checker, RunStatistics]:
     """Pass the records of a finished run to a checker and to the statistics, and return both.
 
     Raises `UnfitError` if a lab process ran so late that the run says nothing about the balancers, unless
@@ -335,7 +338,7 @@
     scenario = runner.scenario
     zones = {each.name: each.zone for each in runner.specs}
     cells = {each.name: each.cell for each in runner.specs}
-    checker, statistics = Judge(scenario, zones, cells, TIME_SLACK_S), Tally(scenario)
+    checker, statistics = Checker(scenario, zones, cells, TIME_SLACK_S), RunStatistics(scenario)
     end = scenario.seconds
     for at, event, *values in runner.read_records():
         if event == "lateness":
@@ -357,31 +360,33 @@
             name, line, duration_s, class_index = values
             checker.answered(at, name, line)
             keyword = line.partition(" ")[0]
-            statistics.answer(at, class_index, {"UP": "served", "BUSY": "refused"}.get(keyword, "failed"))
+            statistics.count_answer(
+                at, class_index, {"UP": "served", "BUSY": "refused"}.get(keyword, "failed")
+            )
             if keyword == "UP":
-                statistics.setups.add(duration_s)
+                statistics.setup_times.add(duration_s)
         elif event == "got":
-            checker.line_got(at, *values)
+            checker.server_received_line(at, *values)
         elif event == "back":
             name, number, duration_s, class_index, sent_at = values
-            checker.line_back(at, name, number)
+            checker.client_received_answer(at, name, number)
             if duration_s >= 0:
-                statistics.messages.add(duration_s)
+                statistics.message_times.add(duration_s)
                 if duration_s * 1000 <= scenario.classes[class_index].message_aim_ms:
-                    statistics.good[class_index][statistics.step(sent_at)] += 1
+                    statistics.good_messages[class_index][statistics.step_index(sent_at)] += 1
         elif event == "wanted":
-            statistics.wanted[values[0]][statistics.step(at)] += 1
+            statistics.wanted_messages[values[0]][statistics.step_index(at)] += 1
         elif event == "event":
-            statistics.event(at, values[0])
+            statistics.count_event(at, values[0])
         elif event == "died":
-            checker.died(at, *values)
+            checker.balancer_died(at, *values)
         elif event == "started":
             checker.server_started(at, values[0], values[1])
         elif event == "fell":
-            statistics.event(at, "servers.fallen")
-            checker.fell(at, *values)
+            statistics.count_event(at, "servers.fallen")
+            checker.cold_server_fell(at, *values)
         elif event == "told":
-            checker.told(at, *values)
+            checker.balancer_notified(at, *values)
         else:
             getattr(checker, event)(at, *values)
     checker.finish(end)
@@ -396,7 +401,7 @@
     A live run always goes on to its end; violations are listed in the order in which they happened. The run's
     directory is deleted unless SWITCHHUB_LAB_KEEP is set."""
     reason = unfit_reason(scenario)
-    statistics, violations, notes = Tally(scenario), [], []
+    statistics, violations, notes = RunStatistics(scenario), [], []
     folder = Path(tempfile.mkdtemp(prefix="switchhub-lab-"))
     try:
         if reason is not None:
@@ -404,10 +409,10 @@
         runner = Runner(scenario, seed, other_checkout, folder)
         asyncio.run(runner.run())
         checker, statistics = check_records(runner, ignore_lateness)
-        violations, notes = checker.broken, runner.notes + runner.crashes
-        if checker.untold:
+        violations, notes = checker.violations, runner.notes + runner.crashes
+        if checker.crashes_without_notice:
             notes.append(
-                f"{checker.untold} cold servers crashed under load from balancers not notified of their start"
+                f"{checker.crashes_without_notice} cold servers crashed: balancers were not notified of their start"
             )
     except UnfitError as error:
         reason = str(error)
@@ -418,8 +423,8 @@
         else:
             shutil.rmtree(folder, ignore_errors=True)
     policy = "design" if other_checkout is None else "against"
-    target_counts = names_met(scenario, expand(scenario, seed))
-    data = result(scenario, seed, "live", policy, statistics, violations, target_counts)
+    target_counts = count_targets(scenario, expand_troubles(scenario, seed))
+    data = result_data(scenario, seed, "live", policy, statistics, violations, target_counts)
     data["notes"] = notes
     data["crashed"] = bool(reason is None and any("ended by itself" in each for each in notes))
     if reason is not None:
--- a/switchhub/lab/live/servers.py
+++ b/switchhub/lab/live/servers.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
+from switchhub.lab.fake_server import FakeServer, SetupReply, server_specs
 from switchhub.lab.live.lab_process import LabProcess, Plan, notify_runner, reset_transport, run
-from switchhub.lab.population import arrivals, standing
-from switchhub.lab.stand_in import StandIn, Verdict, places
-from switchhub.lab.timeline import Change
+from switchhub.lab.population import arriving_clients, initial_clients
+from switchhub.lab.timeline import IntervalChange
 
 LISTEN_BACKLOG = 4096  # connections that may wait to be accepted
 
@@ -22,7 +22,7 @@
 class BalancerConnection(asyncio.Protocol):
     """One connection from a balancer to a server."""
 
-    def __init__(self, process: ServersProcess, server: StandIn, zone: int) -> None:
+    def __init__(self, process: ServersProcess, server: FakeServer, zone: int) -> None:
         """`zone` is the index of the balancer's zone."""
         self.process, self.server, self.zone = process, server, zone
         self.transport: asyncio.Transport | None = None
@@ -30,7 +30,7 @@
         self.adopted = self.up = False
         self._buffer = b""
         self._last_answer_at = 0.0  # when the latest answer is due; answers keep the order of their lines
-        self._round_trip_s = 2 * process.one_way_delay(zone, server.place.zone)
+        self._round_trip_s = 2 * process.one_way_delay(zone, server.spec.zone)
 
     def connection_made(self, transport: Any) -> None:
         """Register the accepted connection."""
@@ -47,8 +47,8 @@
 
         Stops while the network is cut, and while the server hangs; a hanging server still reads first lines.
         """
-        while not (self.server.hangs and self.id) and self.process.can_reach(
-            self.zone, self.server.place.zone
+        while not (self.server.hanging and self.id) and self.process.can_reach(
+            self.zone, self.server.spec.zone
         ):
             line, separator, rest = self._buffer.partition(b"\r\n")
             if not separator:
@@ -69,22 +69,22 @@
             return self._send_line("SYNTAX")
         if fields.get("at") == server.name and not process.started:
             self.adopted = self.up = True
-            server.hold(connection_id, load)
+            server.add_connection(connection_id, load)
             return self._send_line(f"UP {server.name}.{connection_id}")
-        reply, setup_s = server.offer(now, connection_id, load)
+        reply, setup_s = server.receive_first_line(now, connection_id, load)
         process.record("took", server.name, connection_id)
-        if reply is Verdict.UP:
-            if server.pushed_over(now, connection_id, load):
+        if reply is SetupReply.UP:
+            if server.crashes_from_setup(now, connection_id, load):
                 process.crash_cold_server(server)
             else:
                 asyncio.get_running_loop().call_later(setup_s + self._round_trip_s, self._establish)
-        elif reply is not Verdict.SILENT:
+        elif reply is not SetupReply.SILENT:
             process.record("said", server.name, connection_id, reply.value)
             self._send_line(reply.value)
             self.close_connection(True)
 
     def _establish(self) -> None:
-        if self.transport is None or self.server.dead or self.server.hangs:
+        if self.transport is None or self.server.dead or self.server.hanging:
             return
         self.up = True
         receipt = f"UP {self.server.name}.{self.id}"
@@ -97,14 +97,16 @@
         if keyword != "M" or not number.isdigit():
             return self._send_line("ERR")
         process.record("got", self.id, int(number))
-        self._last_answer_at = max(self._last_answer_at, now + self._round_trip_s + self.server.delay(now))
+        self._last_answer_at = max(
+            self._last_answer_at, now + self._round_trip_s + self.server.message_delay(now)
+        )
         if self._last_answer_at - now < 0.001:
             self._send_line(line)
         else:
             asyncio.get_running_loop().call_later(self._last_answer_at - now, self._answer_message, line)
 
     def _answer_message(self, line: str) -> None:
-        if self.server.hangs or not self.process.can_reach(self.zone, self.server.place.zone):
+        if self.server.hanging or not self.process.can_reach(self.zone, self.server.spec.zone):
             # Try again until the server answers and the network carries the answer.
             self.process.schedule(self.process.now() + 0.1, self._answer_message, line)
         else:
@@ -126,7 +128,7 @@
         self.process.connections[self.server.name].discard(self)
         if self.id:
             self.process.record("dropped", self.server.name, self.id, by_server)
-            self.server.end(self.process.now(), self.id)
+            self.server.remove_connection(self.process.now(), self.id)
         transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -139,15 +141,15 @@
 
     def __init__(self, plan: Plan, records: Path) -> None:
         super().__init__(plan, records)
-        self.specs = places(self.scenario)
-        self.servers = {each.name: StandIn(self.scenario, each, plan.seed) for each in self.specs}
+        self.specs = server_specs(self.scenario)
+        self.servers = {each.name: FakeServer(self.scenario, each, plan.seed) for each in self.specs}
         self.connections: dict[str, set[BalancerConnection]] = {name: set() for name in self.servers}
         self._listeners: dict[str, list[asyncio.Server]] = {}
         self._cut_zones: list[str] = []
-        clients_at_start = standing(self.scenario, plan.seed)
-        self.loads_by_flow_key = {each.key: each.load for each in clients_at_start}
-        for each in arrivals(self.scenario, self.timeline, plan.seed, len(clients_at_start)):
-            self.loads_by_flow_key[each.key] = each.load
+        clients_at_start = initial_clients(self.scenario, plan.seed)
+        self.loads_by_flow_key = {each.flow_key: each.load for each in clients_at_start}
+        for each in arriving_clients(self.scenario, self.timeline, plan.seed, len(clients_at_start)):
+            self.loads_by_flow_key[each.flow_key] = each.load
 
     def one_way_delay(self, zone: int, other: int) -> float:
         """Return the network delay between two zones in seconds, one way."""
@@ -185,7 +187,7 @@
         for change in self.timeline.changes:
             self.schedule(change.at, self._apply_change, change)
 
-    def _apply_change(self, change: Change) -> None:
+    def _apply_change(self, change: IntervalChange) -> None:
         interval, now = change.interval, self.now()
         if interval.effect == "zone-cut":
             if change.begins:
@@ -196,15 +198,15 @@
                     self._resume_connections(name)
         elif interval.target in self.servers:
             server = self.servers[interval.target]
-            was_hanging = server.hangs
-            if server.change(now, change.begins, interval):
+            was_hanging = server.hanging
+            if server.apply_change(now, change.begins, interval):
                 if server.dead:
                     self._stop_server(interval.target)
                 else:
                     self.record("started", interval.target, interval.end)
                     task = asyncio.get_running_loop().create_task(self.listen(interval.target))
                     task.add_done_callback(lambda done: done.result())
-            elif was_hanging and not server.hangs:
+            elif was_hanging and not server.hanging:
                 self._resume_connections(interval.target)
 
     def _resume_connections(self, name: str) -> None:
@@ -220,9 +222,9 @@
             if transport is not None:
                 reset_transport(transport)
 
-    def crash_cold_server(self, server: StandIn) -> None:
+    def crash_cold_server(self, server: FakeServer) -> None:
         """Record and stop a cold server that was given more set-up work than it can take."""
-        self.record("fell", server.name, list(server.pushed), server.most(self.now()))
+        self.record("fell", server.name, list(server.recent_setups), server.cold_setup_budget(self.now()))
         self._stop_server(server.name)
 
 
--- a/tests/lab/test_live.py
+++ b/tests/lab/test_live.py
@@ -17,16 +17,16 @@
 from switchhub.lab.cli import main
 from switchhub.lab.hunt import scenario_to_toml
 from switchhub.lab.live import runner
-from tests.lab.small import data, small, trouble
+from tests.lab.small_scenarios import scenario_data, small_scenario, trouble_data
 
 ROOT = Path(__file__).parent.parent.parent
 TROUBLES = [
-    trouble("hang", 1.0, seconds=3.0, meets=["s-0"]),
-    trouble("balancer-die", 1.5, seconds=1.0, meets=["b0"]),
-    trouble("die", 2.0, seconds=2.0, meets=["s-1"]),
-    trouble("roster-out", 2.5, seconds=1.0),
-    trouble("drop", 4.0, part=0.3),
-    trouble("balancer-reload", 4.5, meets=["b1"]),
+    trouble_data("hang", 1.0, seconds=3.0, meets=["s-0"]),
+    trouble_data("balancer-die", 1.5, seconds=1.0, meets=["b0"]),
+    trouble_data("die", 2.0, seconds=2.0, meets=["s-1"]),
+    trouble_data("roster-out", 2.5, seconds=1.0),
+    trouble_data("drop", 4.0, part=0.3),
+    trouble_data("balancer-reload", 4.5, meets=["b1"]),
 ]
 
 
@@ -49,7 +49,7 @@
     """A checker or a lab process with a fault of its own would report violations of correct balancers."""
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     for _ in range(3):  # a run for which this machine was too slow is reported as unfit and not checked
-        result = runner.run_live(small("calm", troubles=TROUBLES), 1)
+        result = runner.run_live(small_scenario("calm", troubles=TROUBLES), 1)
         if "unfit" not in result:
             break
     assert "unfit" not in result
@@ -84,18 +84,18 @@
     assert text.count(original) == 1
     session.write_text(text.replace(original, mutant))
     # These violations do not depend on timing, so a slow machine does not matter.
-    result = runner.run_live(small("calm", seconds=4.5), 1, tmp_path, ignore_lateness=True)
+    result = runner.run_live(small_scenario("calm", seconds=4.5), 1, tmp_path, ignore_lateness=True)
     assert violation in {each["name"] for each in result["broken"]}
     assert result["broken"][0]["story"]
 
 
 def test_unfit_scenario_is_refused_before_a_process_starts(tmp_path: Path, capsys: Any) -> None:
     file = tmp_path / "wide.toml"
-    file.write_text(scenario_to_toml(data(balancers={"count": 200})))
+    file.write_text(scenario_to_toml(scenario_data(balancers={"count": 200})))
     begin = time.monotonic()
     assert main(["run", str(file), "--engine", "live"]) == 2
     assert time.monotonic() - begin < 2.0
-    assert runner.unfit_reason(small("calm", balancers={"count": 1, "sockets": 64})) is not None
+    assert runner.unfit_reason(small_scenario("calm", balancers={"count": 1, "sockets": 64})) is not None
     assert main(["run", str(file), "--engine", "live", "--policy", "plain"]) == 2
 
 
@@ -141,7 +141,7 @@
     (package / "__main__.py").write_text("import sys; sys.exit(3)\n")
 
     async def run_one_balancer() -> runner.Runner:
-        live_run = runner.Runner(small("calm"), 1, tmp_path, tmp_path)
+        live_run = runner.Runner(small_scenario("calm"), 1, tmp_path, tmp_path)
         await live_run.start_balancer(0)
         await live_run.balancers[0].wait()
         await asyncio.sleep(0.05)
