--- a/switchhub/lab/live/runner.py
+++ b/switchhub/lab/live/runner.py
@@ -412,7 +412,7 @@
         violations, notes = checker.violations, runner.notes + runner.crashes
         if checker.crashes_without_notice:
             notes.append(
-                f"{checker.crashes_without_notice} cold servers crashed: balancers were not notified of their start"
+                f"{checker.crashes_without_notice} cold servers crashed before balancers knew of their start"
             )
     except UnfitError as error:
         reason = str(error)
