--- a/switchhub/lab/live/clients.py
+++ b/switchhub/lab/live/clients.py
@@ -19,7 +19,7 @@
 from switchhub.lab.timeline import FOREVER, Interval
 
 PING_INTERVAL_S = 0.1
-READY_TIMEOUT_S = 20.0  # for the first `PONG` of each balancer
+READY_TIMEOUT_S = 20.0  # for all balancers to answer `PING` with `PONG`
 INITIAL_SETUP_TIMEOUT_S = 30.0  # for each batch of connections that are open when the run starts
 LISTEN_AFTER_GIVING_UP_S = 2.0  # a client that has given up still reads, so that late answers are recorded
 INITIAL_SETUP_BATCH = 100  # connections per batch that are set up before the run starts
--- a/switchhub/lab/live/servers.py
+++ b/switchhub/lab/live/servers.py
@@ -121,7 +121,7 @@
         return False
 
     def close_connection(self, by_server: bool) -> None:
-        """Remove the connection from the server and close it; `by_server` tells which side ended it."""
+        """Remove the connection from the server and close it; `by_server`: whether the server ends it."""
         transport, self.transport = self.transport, None
         if transport is None:
             return
