--- a/switchhub/lab/faults/__init__.py
+++ b/switchhub/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between and at real processes of the program, from outside, and what was seen of them."""
+"""Fault injection for real balancer processes: runs plans of faults and checks what was recorded."""
--- a/switchhub/lab/faults/launch.py
+++ b/switchhub/lab/faults/launch.py
@@ -1,10 +1,11 @@
-"""The program, stopped in the middle of a step: `python -m switchhub.lab.faults.launch`.
+"""Runs the balancer so that it stops itself during a handover: `python -m switchhub.lab.faults.launch`.
 
-Owns: one wrapper around the hand-over's channel, in this process only. Must never: change what the program
-does; it only sends SIGSTOP to itself when the word in `LAB_STOP_AT` has just passed, once.
+The environment variable `LAB_STOP_AT` says where: `send:MESSAGE` or `hear:MESSAGE`, with a message type of
+`handover/messages.py`, sends SIGSTOP to this process right after it has sent or received the first message of
+that type. `refuse:copy` simulates a platform on which no process may copy a socket of another process.
 
-`LAB_STOP_AT` is `send:WORD` or `hear:WORD`, with the words of `handover/messages.py`; or `refuse:copy`, which
-makes it a platform that lets no process copy another's socket.
+Wraps the handover's channel in this process and nothing else: apart from that one stop, or from the refused
+copy, the balancer runs unchanged.
 """
 
 from __future__ import annotations
@@ -20,35 +21,35 @@
 
 
 def main() -> None:
-    """Wrap, then start."""
-    way, _, word = os.environ["LAB_STOP_AT"].partition(":")
+    """Install the wrapper, then run the balancer."""
+    mode, _, message_type = os.environ["LAB_STOP_AT"].partition(":")
     send, receive = Channel.send, Channel.receive
-    left = [word]
+    pending = [message_type]  # emptied by the one stop
 
-    def stop(data: bytes) -> None:
-        if left and messages.decode_message(data)[0] == left[0]:
-            left.clear()
+    def stop_after(data: bytes) -> None:
+        if pending and messages.decode_message(data)[0] == pending[0]:
+            pending.clear()
             os.kill(os.getpid(), signal.SIGSTOP)
 
-    def sends(self: Channel, message: bytes, *sockets: socket.socket) -> None:
+    def send_and_stop(self: Channel, message: bytes, *sockets: socket.socket) -> None:
         send(self, message, *sockets)
-        stop(message)
+        stop_after(message)
 
-    async def receives(self: Channel) -> tuple[bytes, list[socket.socket]] | None:
+    async def receive_and_stop(self: Channel) -> tuple[bytes, list[socket.socket]] | None:
         received = await receive(self)
         if received is not None:
-            stop(received[0])
+            stop_after(received[0])
         return received
 
-    def refuse(process_fd: int, descriptor: int) -> socket.socket:
-        raise PermissionError(1, "refused here")
+    def refuse_copy(process_fd: int, descriptor: int) -> socket.socket:
+        raise PermissionError(1, "copying a socket of another process is refused by LAB_STOP_AT=refuse:copy")
 
-    if way == "refuse":
-        socket_recovery._copy_descriptor = refuse
-    elif way == "send":
-        Channel.send = sends  # type: ignore[method-assign]
+    if mode == "refuse":
+        socket_recovery._copy_descriptor = refuse_copy
+    elif mode == "send":
+        Channel.send = send_and_stop  # type: ignore[method-assign]
     else:
-        Channel.receive = receives  # type: ignore[method-assign]
+        Channel.receive = receive_and_stop  # type: ignore[method-assign]
     sys.argv = ["switchhub"]
     runpy.run_module("switchhub", run_name="__main__", alter_sys=True)
 
