--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -269,7 +269,9 @@
     assert record.violations() == ["d: token 2 was n1's and n0's"]
     line = "   5.000 05:00 INFO peers: n1 alive -> dead (incarnation 0): suspected for 1.0 s"
     record = Record("", balancers=3, logs={"n0": [line]}, done=[(1.0, "agree 3")])
-    assert record.violations() == ["n0 buried n1 at 5.00, and nothing had been done to either"]
+    assert record.violations() == [
+        "n0 declared n1 dead at 5.00 s, although no fault had been injected at either"
+    ]
     record.done.append((2.0, "stop n1"))
     assert not record.violations()
     record.done[:] = [(2.0, "cut n1 n2"), (2.5, "heal")]
@@ -283,7 +285,7 @@
         ("balancers = 99\nsteps = []", "balancers = 99"),
         ("balancers = 3\nsteps = ['fly n0']", "steps[0] = 'fly n0'"),
         ("balancers = 3\nsteps = ['kill n7']", "n7"),
-        ("balancers = 3\nsteps = ['loss n0 n1']", "1 figures"),
+        ("balancers = 3\nsteps = ['loss n0 n1']", "1 arguments"),
         ("balancers = 3\nsteps = [1]", "a list of texts"),
         ("balancers = 3\nstep = []", "step: expected"),
         ("balancers = ", "plan: "),
