--- a/switchhub/lab/faults/hunt.py
+++ b/switchhub/lab/faults/hunt.py
@@ -20,12 +20,12 @@
 PAUSES_MS = (100, 300, 700, 1200, 2500, 5000)  # waits between two faults
 
 
-def random_plan(seed: int, balancers: int = 5, duties: bool = False) -> Plan:
+def random_plan(seed: int, balancers: int = 5, with_lease: bool = False) -> Plan:
     """Return a plan drawn from the seed.
 
-    Faults follow and overlap each other; then all are undone, and all balancers must agree. With `duties`,
-    the lease `d` has candidates from the start, some faults hit its current holder, and it must be held in
-    the end.
+    Faults follow and overlap each other; then all are undone, and all balancers must agree. If `with_lease`
+    is true, the lease `d` has candidates from the start, some faults hit its current holder, and it must be
+    held in the end.
     """
     rng = Random(f"fleet/{seed}/{balancers}")
     names = [f"n{number}" for number in range(balancers)]
@@ -37,7 +37,7 @@
     for _ in range(rng.randint(3, 9)):
         running = [name for name in names if name not in ended | stopped]
         affected = ",".join(sorted(rng.sample(names, rng.randint(1, balancers - 1))))
-        if duties and rng.random() < 0.2:
+        if with_lease and rng.random() < 0.2:
             steps.append(
                 rng.choice(("cut @d *", "oneway @d *", "oneway * @d", "cut @d,n0 -@d,n0", "storm @d 1000"))
             )
@@ -82,7 +82,7 @@
     steps += [f"{verb} {','.join(sorted(who))}" for verb, who in
               (("wake", stopped), ("free", choked), ("start", ended)) if who]  # fmt: skip
     steps.append(f"agree {SETTLE_TIMEOUT_S}")
-    if not duties:
+    if not with_lease:
         return Plan(balancers, tuple(steps), name=f"seed {seed}")
     steps = [f"duty {','.join(names[:5])} d", "acts d 8", *steps, "acts d 8"]
     return Plan(balancers, tuple(steps), name=f"seed {seed}", voters=5 if balancers > 8 else 3)
--- a/switchhub/lab/faults/process_harness.py
+++ b/switchhub/lab/faults/process_harness.py
@@ -30,7 +30,7 @@
 CLIENT_TIMEOUT_S = 1.5  # longest that a client waits for its answer
 TIMING_SLACK_S = 0.1  # tolerance for late timers of the lab itself
 CHOKED_DESCRIPTOR_LIMIT = 8  # fewer than a process has open before its first client
-_harness_numbers = count()
+_harness_numbers = count()  # one for each harness of this process
 SIGNALS = {"stop": signal.SIGSTOP, "wake": signal.SIGCONT, "kill": signal.SIGKILL, "term": signal.SIGTERM}
 
 
--- a/switchhub/lab/faults/upgrades.py
+++ b/switchhub/lab/faults/upgrades.py
@@ -305,7 +305,7 @@
     """
     rng = Random(f"upgrades/{seed}")
     steps = ["start a", "ready a", str(rng.randint(50, 400))]
-    alive, stopped, told_to_end = ["a"], set[str](), set[str]()
+    alive, stopped, terminated = ["a"], set[str](), set[str]()
     for _ in range(rng.randint(2, 7)):
         running = [each for each in alive if each not in stopped]
         choice = rng.random()
@@ -329,9 +329,9 @@
             stopped.discard(name)
         elif len(alive) > 1:
             name = rng.choice(alive[:-1])
-            if name not in told_to_end:
+            if name not in terminated:
                 steps.append(f"term {name}")
-                told_to_end.add(name)
+                terminated.add(name)
         steps.append(str(rng.choice((20, 60, 150, 320, 500, 900, 1500))))
     steps += [f"wake {name}" for name in sorted(stopped)]
     return "; ".join(steps)
