--- a/switchhub/lab/runs.py
+++ b/switchhub/lab/runs.py
@@ -1,7 +1,7 @@
-"""Many runs in virtual time over the cores, each in a process of its own; results in the order of the jobs.
+"""Runs simulations in virtual time on all cores, in a pool of worker processes that ends with the call.
 
-Owns: the pool of processes, ended with the call. Must never: let the number of workers, or which of them
-played a job, show in a result.
+Results come in the order of the jobs, and depend neither on the number of workers nor on which of them ran a
+job.
 """
 
 from __future__ import annotations
@@ -25,61 +25,69 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One run in virtual time."""
+    """One simulation run."""
 
     scenario: Scenario
     seed: int
-    policy: str = "design"
-    other_checkout: Path | None = None
-    keep_on: bool | None = None
+    policy: str = "design"  # one of `baselines.POLICIES`; "design" is this project's own balancer
+    other_checkout: Path | None = None  # its balancer takes the place of the policy
+    # Whether the run goes on after a broken rule. None: it does with every policy but "design".
+    continue_after_violation: bool | None = None
 
 
-def run_job(job: Job, passed: Callable[[float], None] | None = None) -> dict[str, Any]:
-    """The result of one job. A broken rule ends a run of the design, other policies go on.
+def run_job(job: Job, on_progress: Callable[[float], None] | None = None) -> dict[str, Any]:
+    """Run one job; return its result as plain data.
 
-    `passed` is told of the virtual time, in seconds, as it goes."""
+    `on_progress` is called with the virtual time, in seconds, as it passes."""
     if job.other_checkout is not None:
         from switchhub.lab.earlier import maker
 
-        make = maker(job.other_checkout)
+        make_decider = maker(job.other_checkout)
     else:
-        make = model.maker(job.policy)
-    keep_on = job.policy != "design" if job.keep_on is None else job.keep_on
-    played = model.Run(job.scenario, job.seed, make, keep_on=keep_on, passed=passed).play()
-    name = job.policy if job.other_checkout is None else "against"
-    return result(job.scenario, job.seed, "model", name, played.tally, played.broken, played.met)
+        make_decider = model.maker(job.policy)
+    continue_after_violation = (
+        job.policy != "design" if job.continue_after_violation is None else job.continue_after_violation
+    )
+    outcome = model.Run(
+        job.scenario, job.seed, make_decider, keep_on=continue_after_violation, passed=on_progress
+    ).play()
+    policy_name = job.policy if job.other_checkout is None else "against"
+    return result(job.scenario, job.seed, "model", policy_name, outcome.tally, outcome.broken, outcome.met)
 
 
 def run_job_with_progress(job: Job) -> dict[str, Any]:
-    """The same, with progress on a terminal's standard error."""
+    """Run one job, with a progress bar on standard error if that is a terminal."""
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty(), transient=True) as progress:
-        shown = progress.add_task(job.scenario.name, total=job.scenario.seconds)
-        return run_job(job, lambda now: progress.update(shown, completed=now))
+        task = progress.add_task(job.scenario.name, total=job.scenario.seconds)
+        return run_job(job, lambda now: progress.update(task, completed=now))
 
 
 def _ignore_interrupts() -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends its workers
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process terminates its workers
 
 
 def run_jobs(jobs: list[Job], workers: int = 0) -> list[dict[str, Any]]:
-    """All results, in the order of the jobs; progress on a terminal's standard error."""
+    """Run all jobs; return their results in the order of the jobs.
+
+    `workers` is the number of processes; 0: one for each core. With more than one, a progress bar is shown on
+    standard error if that is a terminal. An interrupt terminates the workers before it is raised again."""
     workers = min(workers or os.cpu_count() or 1, max(1, len(jobs)))
     if workers == 1:
         return [run_job(job) for job in jobs]
-    out: list[dict[str, Any]] = []
+    results: list[dict[str, Any]] = []
     console = Console(stderr=True)
     with (
         ProcessPoolExecutor(workers, initializer=_ignore_interrupts) as pool,
         Progress(console=console, disable=not sys.stderr.isatty()) as progress,
     ):
-        shown = progress.add_task("playing", total=len(jobs))
+        task = progress.add_task("running", total=len(jobs))
         try:
             for each in pool.map(run_job, jobs):
-                out.append(each)
-                progress.advance(shown)
+                results.append(each)
+                progress.advance(task)
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
             for process in list((pool._processes or {}).values()):
                 process.terminate()
             raise
-    return out
+    return results
