--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -1,4 +1,5 @@
-"""Hunting: what is drawn serves, what is written reads back, and shrinking keeps what was found."""
+"""`lab hunt` generates valid scenarios, writes files that read back, and keeps a finding while it shrinks the
+scenario; `lab plot` draws results."""
 
 from __future__ import annotations
 
@@ -12,48 +13,55 @@
 
 from switchhub.lab import hunt
 from switchhub.lab.cli import main
-from switchhub.lab.hunt import Found, draw, scenario_to_toml, shrink, smaller
+from switchhub.lab.hunt import Evaluation, draw_scenario, scenario_to_toml, shrink, smaller_scenarios
 from switchhub.lab.scenario import parse
 
 
 @pytest.mark.parametrize("number", range(60))
-def test_what_is_drawn_serves_and_reads_back(number: int) -> None:
-    data = draw(Random(number), number)
+def test_a_generated_scenario_is_valid_and_reads_back_from_toml(number: int) -> None:
+    data = draw_scenario(Random(number), number)
     assert parse(tomllib.loads(scenario_to_toml(data))) == parse(data)
 
 
-def test_shrinking_keeps_the_broken_rule_and_takes_the_rest_away() -> None:
-    data = next(each for number in range(200) if len((each := draw(Random(number), number))["troubles"]) == 4)
+def test_shrinking_keeps_the_broken_rule_and_removes_the_rest() -> None:
+    data = next(
+        each for number in range(200) if len((each := draw_scenario(Random(number), number))["troubles"]) == 4
+    )
     culprit = data["troubles"][2]["name"]
 
-    def measured(told: dict[str, Any], seed: int) -> Found:
-        parse(told)
-        bad = culprit in {each["name"] for each in told["troubles"]} and _count(told) >= 2
-        return Found(10.0 if bad else 0.0, "cut off" if bad else "", told, seed)
+    def fake_run(candidate: dict[str, Any], seed: int) -> Evaluation:
+        """Breaks a rule as long as one of the troubles and two servers are left."""
+        parse(candidate)
+        bad = culprit in {each["name"] for each in candidate["troubles"]} and _server_count(candidate) >= 2
+        return Evaluation(10.0 if bad else 0.0, "cut off" if bad else "", candidate, seed)
 
-    small = shrink(Found(10.0, "cut off", data, 1), measured)
+    small = shrink(Evaluation(10.0, "cut off", data, 1), fake_run)
     assert [each["name"] for each in small.data["troubles"]] == [culprit]
-    assert _count(small.data) == 2
+    assert _server_count(small.data) == 2
     assert small.data["balancers"]["count"] == 1
-    fewer = [each for each in smaller(small.data) if _count(each) < 2]
-    assert fewer and not any(measured(each, 1).broken for each in fewer)
+    fewer = [each for each in smaller_scenarios(small.data) if _server_count(each) < 2]
+    assert fewer and not any(fake_run(each, 1).violation for each in fewer)
 
 
-def _count(data: dict[str, Any]) -> int:
+def _server_count(data: dict[str, Any]) -> int:
     return sum(int(each["count"]) for each in data["servers"])
 
 
-def test_a_hunt_writes_files_that_replay_the_loss(tmp_path: Path, capsys: Any, monkeypatch: Any) -> None:
-    monkeypatch.setattr(hunt, "KEPT", 1)
-    monkeypatch.setattr(hunt, "STEPS", 3)
+def test_a_hunt_writes_a_valid_scenario_and_the_command_that_runs_it(
+    tmp_path: Path, capsys: Any, monkeypatch: Any
+) -> None:
+    monkeypatch.setattr(hunt, "SHRUNK_SCENARIOS_MAX", 1)
+    monkeypatch.setattr(hunt, "SHRINK_TRIES_MAX", 3)
     assert main(["hunt", "--draws", "3", "--seed", "1", "--out", str(tmp_path), "--workers", "2"]) == 0
     (file,) = tmp_path.glob("*.toml")
-    told = capsys.readouterr().out
-    assert f"lab run {file}" in told
+    output = capsys.readouterr().out
+    assert f"lab run {file}" in output
     assert main(["check", str(file)]) == 0
 
 
-def test_a_result_is_drawn_and_what_is_none_is_refused(tmp_path: Path, capsys: Any) -> None:
+def test_a_result_is_drawn_the_same_each_time_and_other_files_and_arguments_are_rejected(
+    tmp_path: Path, capsys: Any
+) -> None:
     out, picture = tmp_path / "out.json", tmp_path / "out.svg"
     assert main(["run", "lab/scenarios/quick-errors.toml", "--json", str(out), "--plot", str(picture)]) == 0
     first = picture.read_bytes()
