--- a/switchhub/lab/cli.py
+++ b/switchhub/lab/cli.py
@@ -1,8 +1,9 @@
-"""`python -m switchhub lab ...`: check, run, table, compare, engines, hunt, plot, perf, storm,
-upgrades, faults.
+"""The command `python -m switchhub lab`, with the verbs check, run, table, compare, engines, hunt, plot,
+perf, storm, upgrades and faults.
 
-Owns: the arguments, what is printed and the exit status: 0, 1 when a rule is broken, 2 for wrong use or a
-file that does not serve. Must never: start anything before every file named is checked whole.
+Exit status: 0; 1 if a rule was broken, a balancer crashed or a client was not answered as it must be; 2 for
+wrong arguments or an invalid file; 130 after an interrupt. Every file that is named is read and checked
+before anything starts.
 """
 
 from __future__ import annotations
@@ -24,63 +25,74 @@
 from switchhub.lab.tally import dump
 
 SCENARIO_DIRECTORY = Path(__file__).parent.parent.parent / "lab" / "scenarios"
-LARGE = 20_000  # standing connections beyond which a scenario is left out of tables unless it is named
+# Scenarios with more standing connections are left out unless they are named.
+DEFAULT_STANDING_CONNECTIONS_MAX = 20_000
 
 
-def seeds(text: str) -> list[int]:
-    """`7`, `1..20` or `1,4,9`."""
+def parse_numbers(text: str) -> list[int]:
+    """Parse `7`, `1..20` or `1,4,9` to a list of up to 10,000 numbers; raises ArgumentTypeError."""
     try:
         if ".." in text:
             first, last = (int(each) for each in text.split(".."))
-            found = list(range(first, last + 1))
+            numbers = list(range(first, last + 1))
         else:
-            found = [int(each) for each in text.split(",")]
+            numbers = [int(each) for each in text.split(",")]
     except ValueError:
-        raise argparse.ArgumentTypeError(f"not seeds: {text!r}; 7, 1..20 or 1,4,9 are") from None
-    if not found or min(found) < 0 or len(found) > 10_000:
-        raise argparse.ArgumentTypeError(f"not seeds: {text!r}: from 1 to 10,000 of them, none under 0")
-    return found
+        raise argparse.ArgumentTypeError(
+            f"{text!r} is not a list of numbers; expected a form like 7, 1..20 or 1,4,9"
+        ) from None
+    if not numbers or min(numbers) < 0 or len(numbers) > 10_000:
+        raise argparse.ArgumentTypeError(f"{text!r}: expected 1 to 10,000 numbers, none of them negative")
+    return numbers
 
 
-def policies(text: str) -> list[str]:
-    """Names with commas between."""
+def parse_policies(text: str) -> list[str]:
+    """Parse names of policies with commas between; raises ArgumentTypeError for an unknown one."""
     names = text.split(",")
     for name in names:
         if name not in POLICIES:
-            raise argparse.ArgumentTypeError(f"no policy {name!r}; there are {', '.join(POLICIES)}")
+            raise argparse.ArgumentTypeError(
+                f"unknown policy {name!r}; expected one of {', '.join(POLICIES)}"
+            )
     return names
 
 
-def new_file(text: str) -> Path:
-    """A file that can be written once a run is over."""
+def parse_output_file(text: str) -> Path:
+    """The path of a file to write. Raises ArgumentTypeError if its folder does not exist, so that a wrong
+    path is found before a run and not after it."""
     path = Path(text)
     if path.is_dir() or not path.absolute().parent.is_dir():
-        raise argparse.ArgumentTypeError(f"{text!r} can't be written: no such folder")
+        raise argparse.ArgumentTypeError(
+            f"{text!r} can't be written: it is a folder, or its folder does not exist"
+        )
     return path
 
 
-def picture(text: str) -> Path:
-    """A picture's file."""
+def parse_picture_file(text: str) -> Path:
+    """The path of a picture to write, .svg or .png; raises ArgumentTypeError."""
     if Path(text).suffix not in (".svg", ".png"):
         raise argparse.ArgumentTypeError(f"{text!r} must end in .svg or .png")
-    return new_file(text)
+    return parse_output_file(text)
 
 
-def checkout(text: str) -> Path:
-    """Another checkout of this project."""
+def parse_checkout(text: str) -> Path:
+    """The folder of another checkout of this project; raises ArgumentTypeError if it is none."""
     path = Path(text).resolve()
     if not (path / "switchhub" / "decision" / "facade.py").is_file():
-        raise argparse.ArgumentTypeError(f"{text!r} holds no switchhub/decision/facade.py")
+        raise argparse.ArgumentTypeError(
+            f"{text!r} is not a checkout: it has no switchhub/decision/facade.py"
+        )
     return path
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
-        prog="python -m switchhub lab", description="Play a fleet of balancers through troubles and judge it."
+        prog="python -m switchhub lab",
+        description="Run a fleet of balancers through injected faults and check that no rule is broken.",
     )
     verbs = parser.add_subparsers(dest="verb", required=True, metavar="VERB")
 
-    def verb(name: str, help_: str, example: str) -> argparse.ArgumentParser:
+    def add_verb(name: str, help_: str, example: str) -> argparse.ArgumentParser:
         return verbs.add_parser(
             name,
             help=help_,
@@ -88,139 +100,201 @@
             epilog=f"Example: python -m switchhub lab {example}",
         )
 
-    one = verb("check", "check scenario files whole; every fault is a line", "check lab/scenarios/*.toml")
-    one.add_argument("files", nargs="+", type=Path)
+    command = add_verb(
+        "check", "check scenario files; print a line for each error found", "check lab/scenarios/*.toml"
+    )
+    command.add_argument("files", nargs="+", type=Path)
+
+    command = add_verb(
+        "run", "run one scenario", "run lab/scenarios/hang.toml --seed 3 --json out.json --plot out.svg"
+    )
+    command.add_argument("file", type=Path)
+    command.add_argument(
+        "--engine",
+        choices=("model", "live"),
+        default="model",
+        help="model: simulation in virtual time; live: real processes",
+    )
+    command.add_argument("--seed", type=int, default=1)
+    command.add_argument("--policy", choices=POLICIES, default="design")
+    command.add_argument(
+        "--against", type=parse_checkout, metavar="DIR", help="run another checkout's balancer instead"
+    )
+    command.add_argument("--json", type=parse_output_file, metavar="FILE", help="write the result to FILE")
+    command.add_argument(
+        "--plot", type=parse_picture_file, metavar="FILE", help="draw the result to FILE, .svg or .png"
+    )
+    command.add_argument("--keep-on", action="store_true", help="continue the run after a broken rule")
 
-    one = verb(
-        "run", "play one scenario", "run lab/scenarios/hang.toml --seed 3 --json out.json --plot out.svg"
+    command = add_verb(
+        "table",
+        "table of scenarios by policies, in virtual time",
+        "table --seeds 1..10 --policies design,oracle",
     )
-    one.add_argument("file", type=Path)
-    one.add_argument(
-        "--engine", choices=("model", "live"), default="model", help="virtual time, or real processes"
+    command.add_argument(
+        "files", nargs="*", type=Path, help="scenario files; default: those of lab/scenarios but the largest"
     )
-    one.add_argument("--seed", type=int, default=1)
-    one.add_argument("--policy", choices=POLICIES, default="design")
-    one.add_argument(
-        "--against", type=checkout, metavar="DIR", help="play another checkout's balancer instead"
+    command.add_argument("--seeds", type=parse_numbers, default=[1, 2, 3])
+    command.add_argument("--policies", type=parse_policies, default=list(POLICIES))
+    command.add_argument("--workers", type=int, default=0, help="number of processes; 0: one for each core")
+    command.add_argument("--json", type=parse_output_file, metavar="FILE")
+
+    command = add_verb(
+        "compare",
+        "compare two policies or checkouts, seed by seed",
+        "compare design plain --scenario hang.toml",
     )
-    one.add_argument("--json", type=new_file, metavar="FILE", help="write the result there")
-    one.add_argument("--plot", type=picture, metavar="FILE", help="draw it there, .svg or .png")
-    one.add_argument("--keep-on", action="store_true", help="go on after a broken rule")
+    command.add_argument("a", help="a policy, or the folder of a checkout")
+    command.add_argument("b", help="a policy, or the folder of a checkout")
+    command.add_argument("--scenario", type=Path, required=True)
+    command.add_argument("--seeds", type=parse_numbers, default=list(range(1, 11)))
+    command.add_argument("--workers", type=int, default=0)
+    command.add_argument("--json", type=parse_output_file, metavar="FILE")
+
+    command = add_verb(
+        "engines",
+        "run the same scenarios in the simulation and with real processes, and compare",
+        "engines --seed 1",
+    )
+    command.add_argument(
+        "files",
+        nargs="*",
+        type=Path,
+        help="scenario files; default: those of lab/scenarios that fit this machine",
+    )
+    command.add_argument("--seed", type=int, default=1)
+
+    command = add_verb("plot", "draw the result of a run", "plot out.json out.svg")
+    command.add_argument("result", type=Path)
+    command.add_argument("picture", type=parse_picture_file)
+
+    command = add_verb(
+        "hunt",
+        "generate random scenarios, find the worst and shrink them",
+        "hunt --draws 40 --seed 1 --out found",
+    )
+    command.add_argument("--draws", type=int, default=20)
+    command.add_argument("--seed", type=int, default=1)
+    command.add_argument("--out", type=Path, default=Path("found"))
+    command.add_argument("--workers", type=int, default=0)
 
-    one = verb(
-        "table", "scenarios by policies, in virtual time", "table --seeds 1..10 --policies design,oracle"
+    command = add_verb(
+        "storm", "connect many clients to one real balancer", "storm --clients 1000,3000 --wait-ms 1200"
+    )
+    command.add_argument(
+        "--clients",
+        type=parse_numbers,
+        default=[1000, 3000],
+        help="number of clients that connect at once, one storm for each",
     )
-    one.add_argument("files", nargs="*", type=Path, help="scenario files; the whole shelf if none")
-    one.add_argument("--seeds", type=seeds, default=[1, 2, 3])
-    one.add_argument("--policies", type=policies, default=list(POLICIES))
-    one.add_argument("--workers", type=int, default=0, help="processes; as many as there are cores if 0")
-    one.add_argument("--json", type=new_file, metavar="FILE")
-
-    one = verb(
-        "compare", "two policies or checkouts, seed by seed", "compare design plain --scenario hang.toml"
+    command.add_argument(
+        "--rate", type=float, default=0.0, help="instead: connections a second, for --seconds"
     )
-    one.add_argument("a", help="a policy, or a checkout's folder")
-    one.add_argument("b", help="a policy, or a checkout's folder")
-    one.add_argument("--scenario", type=Path, required=True)
-    one.add_argument("--seeds", type=seeds, default=list(range(1, 11)))
-    one.add_argument("--workers", type=int, default=0)
-    one.add_argument("--json", type=new_file, metavar="FILE")
-
-    one = verb("engines", "the same scenarios on both engines, side by side", "engines --seed 1")
-    one.add_argument(
-        "files", nargs="*", type=Path, help="scenario files; those of the shelf that fit if none"
+    command.add_argument("--seconds", type=float, default=10.0)
+    command.add_argument("--wait-ms", type=int, default=1200)
+    command.add_argument(
+        "--silent", type=int, help="also poll the management address, with this many idle connections to it"
     )
-    one.add_argument("--seed", type=int, default=1)
-
-    one = verb("plot", "draw a result", "plot out.json out.svg")
-    one.add_argument("result", type=Path)
-    one.add_argument("picture", type=picture)
-
-    one = verb("hunt", "draw scenarios, find the worst, shrink it", "hunt --draws 40 --seed 1 --out found")
-    one.add_argument("--draws", type=int, default=20)
-    one.add_argument("--seed", type=int, default=1)
-    one.add_argument("--out", type=Path, default=Path("found"))
-    one.add_argument("--workers", type=int, default=0)
-
-    one = verb("storm", "many clients at one real balancer", "storm --clients 1000,3000 --wait-ms 1200")
-    one.add_argument("--clients", type=seeds, default=[1000, 3000], help="how many at once, one storm each")
-    one.add_argument("--rate", type=float, default=0.0, help="so many a second instead, for --seconds")
-    one.add_argument("--seconds", type=float, default=10.0)
-    one.add_argument("--wait-ms", type=int, default=1200)
-    one.add_argument("--silent", type=int, help="call for the figures too, beside so many silent callers")
-    one.add_argument("--against", type=checkout, metavar="DIR", help="another checkout's balancer")
-    one.add_argument("--json", type=new_file, metavar="FILE")
-
-    one = verb(
+    command.add_argument(
+        "--against", type=parse_checkout, metavar="DIR", help="run another checkout's balancer instead"
+    )
+    command.add_argument("--json", type=parse_output_file, metavar="FILE")
+
+    command = add_verb(
         "upgrades",
-        "processes of one balancer stopped, woken and killed beside each other",
+        "run processes of one balancer side by side through upgrades, pauses and kills",
         'upgrades "start a; ready a; 300; start b; ready b; stop b; 900"',
     )
-    one.add_argument("plans", nargs="*", metavar="PLAN", help="as `lab/faults/upgrades.py` describes them")
-    one.add_argument("--seeds", type=seeds, default=[], help="draw a plan from each of these")
-    one.add_argument("--at-once", type=int, default=4, help="plays side by side")
-    one.add_argument("--shrink", action="store_true", help="look for less of a plan that still goes wrong")
-    one.add_argument("--json", type=new_file, metavar="FILE")
+    command.add_argument(
+        "plans", nargs="*", metavar="PLAN", help="steps, as switchhub/lab/faults/upgrades.py describes them"
+    )
+    command.add_argument(
+        "--seeds", type=parse_numbers, default=[], help="also run a plan generated from each of these seeds"
+    )
+    command.add_argument("--at-once", type=int, default=4, help="how many plans run side by side")
+    command.add_argument(
+        "--shrink", action="store_true", help="reduce each failing plan to a smaller one that still fails"
+    )
+    command.add_argument("--json", type=parse_output_file, metavar="FILE")
 
-    one = verb(
+    command = add_verb(
         "faults",
-        "several balancers that know each other, with faults of and between them: run, hunt, replay, shrink",
+        "run several balancers that form a membership, with faults in and between them",
         "faults run lab/faults/split.toml",
     )
-    one.add_argument("what", choices=("run", "hunt", "replay", "shrink"))
-    one.add_argument("files", nargs="*", type=Path, metavar="FILE", help="plans; with replay, records")
-    one.add_argument("--seeds", type=seeds, default=[], help="with hunt: draw a plan from each of these")
-    one.add_argument("--balancers", type=int, default=5, help="with hunt: how many, from 3 to 40")
-    one.add_argument("--duties", action="store_true", help="with hunt: a duty is held by lease all along")
-    one.add_argument("--at-once", type=int, default=2, help="plays side by side")
-    one.add_argument("--shrink", action="store_true", help="with hunt: make what goes wrong small")
-    one.add_argument("--json", type=new_file, metavar="FILE")
-
-    one = verb("perf", "what the balancer itself costs", "perf --json perf.json")
-    one.add_argument(
-        "--against", type=checkout, metavar="DIR", help="beside another checkout, in the same run"
+    command.add_argument("what", choices=("run", "hunt", "replay", "shrink"))
+    command.add_argument(
+        "files", nargs="*", type=Path, metavar="FILE", help="plan files; with replay: record files"
+    )
+    command.add_argument(
+        "--seeds", type=parse_numbers, default=[], help="with hunt: generate a plan from each of these seeds"
+    )
+    command.add_argument(
+        "--balancers", type=int, default=5, help="with hunt: number of balancers, from 3 to 40"
+    )
+    command.add_argument(
+        "--duties", action="store_true", help="with hunt: a lease is held throughout the plan"
+    )
+    command.add_argument("--at-once", type=int, default=2, help="how many plans run side by side")
+    command.add_argument(
+        "--shrink",
+        action="store_true",
+        help="with hunt: reduce each failing plan to a smaller one that still fails",
+    )
+    command.add_argument("--json", type=parse_output_file, metavar="FILE")
+
+    command = add_verb("perf", "measure what the balancer itself costs", "perf --json perf.json")
+    command.add_argument(
+        "--against", type=parse_checkout, metavar="DIR", help="measure another checkout too, in the same run"
     )
-    one.add_argument("--quick", action="store_true", help="shorter, for a first look")
-    one.add_argument("--json", type=new_file, metavar="FILE")
+    command.add_argument("--quick", action="store_true", help="fewer and shorter measurements")
+    command.add_argument("--json", type=parse_output_file, metavar="FILE")
     return parser
 
 
-def read_all(files: list[Path]) -> list[Scenario]:
-    """All files, or one `ScenarioError` with the faults of every one."""
-    found: list[Scenario] = []
-    faults: list[str] = []
+def read_scenarios(files: list[Path]) -> list[Scenario]:
+    """The scenarios of all files; raises one ScenarioError with the errors of every file."""
+    valid_scenarios: list[Scenario] = []
+    problems: list[str] = []
     for path in files:
         try:
-            found.append(scenarios.read(path))
+            valid_scenarios.append(scenarios.read(path))
         except ScenarioError as error:
-            faults += error.faults
-    if faults:
-        raise ScenarioError(faults)
-    return found
+            problems += error.faults
+    if problems:
+        raise ScenarioError(problems)
+    return valid_scenarios
 
 
-def shelf() -> list[Scenario]:
-    """The project's own scenarios that a table can hold."""
-    return [each for each in read_all(sorted(SCENARIO_DIRECTORY.glob("*.toml"))) if each.standing <= LARGE]
+def default_scenarios() -> list[Scenario]:
+    """The scenarios of `SCENARIO_DIRECTORY` but the largest."""
+    return [
+        each
+        for each in read_scenarios(sorted(SCENARIO_DIRECTORY.glob("*.toml")))
+        if each.standing <= DEFAULT_STANDING_CONNECTIONS_MAX
+    ]
 
 
-def write(path: Path | None, data: Any) -> None:
-    """As JSON, if a file is named."""
+def write_json(path: Path | None, data: Any) -> None:
+    """Write data as JSON; nothing if `path` is None."""
     if path is not None:
         path.write_text(dump(data), encoding="utf-8")
 
 
-def show_result(result: dict[str, Any]) -> int:
-    """A run's figures on the terminal, and what broke; the exit status."""
+def print_result(result: dict[str, Any]) -> int:
+    """Print a run's figures and its first broken rule; return the exit status."""
     print(
         f"{result['scenario']} seed {result['seed']} {result['engine']} {result['policy']}: "
         f"service {result['service']:.4f}"
     )
     for each in result["troubles"]:
-        print(f"  trouble {each['name']} ({each['kind']}) at {each['at_s']} s meets {each['meets']}")
+        print(f"  trouble {each['name']} ({each['kind']}) at {each['at_s']} s: {each['meets']} affected")
     for name, each in result["by_class"].items():
-        told = ", ".join(f"{word} {count}" for word, count in each["answers"].items())
-        print(f"  {name}: {each['good']} of {each['wanted']} messages well served; answers: {told or 'none'}")
+        answers = ", ".join(f"{outcome} {count}" for outcome, count in each["answers"].items())
+        print(
+            f"  {name}: {each['good']} of {each['wanted']} messages answered in time; "
+            f"answers to requests: {answers or 'none'}"
+        )
     for name in ("setup", "message"):
         print(f"  {name}: " + ", ".join(f"{key} {value}" for key, value in result[name].items()))
     if result["counts"]:
@@ -232,62 +306,65 @@
         for line in each["story"]:
             print(f"    {line}")
     if len(result["broken"]) > 1:
-        print(f"  and {len(result['broken']) - 1} more")
+        print(f"  and {len(result['broken']) - 1} more violations")
     return 1 if result["broken"] or result.get("crashed") else 0
 
 
-def _check(told: argparse.Namespace) -> int:
-    for each in read_all(told.files):
-        print(
-            f"{each.name}: {len(each.server_names())} servers, {each.standing} standing connections, serves"
-        )
+def _check(options: argparse.Namespace) -> int:
+    for each in read_scenarios(options.files):
+        print(f"{each.name}: {len(each.server_names())} servers, {each.standing} standing connections, valid")
     return 0
 
 
-def _run(told: argparse.Namespace) -> int:
-    scenario = read_all([told.file])[0]
-    if told.engine == "live":
-        if told.policy != "design":
-            print("lab: live runs play the real program: --policy design, or --against DIR", file=sys.stderr)
+def _run(options: argparse.Namespace) -> int:
+    scenario = read_scenarios([options.file])[0]
+    if options.engine == "live":
+        if options.policy != "design":
+            print(
+                "lab: a live run starts the real balancer: use --policy design, or --against DIR",
+                file=sys.stderr,
+            )
             return 2
         from switchhub.lab.live import runner
 
-        result = runner.play(scenario, told.seed, told.against)
+        result = runner.play(scenario, options.seed, options.against)
     else:
         result = run_job_with_progress(
-            Job(scenario, told.seed, told.policy, told.against, told.keep_on or None)
+            Job(scenario, options.seed, options.policy, options.against, options.keep_on or None)
         )
-    write(told.json, result)
-    if told.plot:
-        _draw(result, told.plot)
-    return 2 if result.get("unfit") else show_result(result)
+    write_json(options.json, result)
+    if options.plot:
+        _draw(result, options.plot)
+    return 2 if result.get("unfit") else print_result(result)
 
 
-def _table(told: argparse.Namespace) -> int:
+def _table(options: argparse.Namespace) -> int:
     from switchhub.lab import report
 
-    found = read_all(told.files) if told.files else shelf()
-    jobs = [Job(each, seed, policy) for each in found for policy in told.policies for seed in told.seeds]
-    rows = report.summarize(run_jobs(jobs, told.workers))
-    write(told.json, rows)
-    print(report.format_table(rows, told.policies))
+    selected = read_scenarios(options.files) if options.files else default_scenarios()
+    jobs = [
+        Job(each, seed, policy) for each in selected for policy in options.policies for seed in options.seeds
+    ]
+    rows = report.summarize(run_jobs(jobs, options.workers))
+    write_json(options.json, rows)
+    print(report.format_table(rows, options.policies))
     return 1 if any(row["policy"] == "design" and row["broken"] for row in rows) else 0
 
 
-def _compare(told: argparse.Namespace) -> int:
+def _compare(options: argparse.Namespace) -> int:
     from switchhub.lab import report
 
-    scenario = read_all([told.scenario])[0]
+    scenario = read_scenarios([options.scenario])[0]
     sides = []
-    for name in (told.a, told.b):
-        against = None if name in POLICIES else checkout(name)
+    for name in (options.a, options.b):
+        against = None if name in POLICIES else parse_checkout(name)
         policy = name if against is None else "design"
-        sides.append([Job(scenario, seed, policy, against) for seed in told.seeds])
-    results = run_jobs(sides[0] + sides[1], told.workers)
-    half = len(told.seeds)
-    found = report.compare_runs(told.a, told.b, results[:half], results[half:])
-    write(told.json, found)
-    print(report.format_comparison(found))
+        sides.append([Job(scenario, seed, policy, against) for seed in options.seeds])
+    results = run_jobs(sides[0] + sides[1], options.workers)
+    half = len(options.seeds)
+    comparison = report.compare_runs(options.a, options.b, results[:half], results[half:])
+    write_json(options.json, comparison)
+    print(report.format_comparison(comparison))
     return 0
 
 
@@ -297,85 +374,93 @@
     plots.draw(result, picture)
 
 
-def _plot(told: argparse.Namespace) -> int:
+def _plot(options: argparse.Namespace) -> int:
     try:
-        result = json.loads(told.result.read_text(encoding="utf-8"))
-        _draw(result, told.picture)
+        result = json.loads(options.result.read_text(encoding="utf-8"))
+        _draw(result, options.picture)
     except (OSError, ValueError, KeyError) as error:
-        print(f"lab: {told.result}: not a result of lab run: {error}", file=sys.stderr)
+        print(f"lab: {options.result}: not a result file of lab run: {error}", file=sys.stderr)
         return 2
     return 0
 
 
-def _engines(told: argparse.Namespace) -> int:
+def _engines(options: argparse.Namespace) -> int:
     from switchhub.lab import report
     from switchhub.lab.live import runner
 
-    found = read_all(told.files) if told.files else [each for each in shelf() if runner.fits(each) is None]
-    return report.engines(found, told.seed)
+    selected = (
+        read_scenarios(options.files)
+        if options.files
+        else [each for each in default_scenarios() if runner.fits(each) is None]
+    )
+    return report.compare_engines(selected, options.seed)
 
 
-def _hunt(told: argparse.Namespace) -> int:
+def _hunt(options: argparse.Namespace) -> int:
     from switchhub.lab import hunt
 
-    return hunt.run(told.draws, told.seed, told.out, told.workers)
+    return hunt.run(options.draws, options.seed, options.out, options.workers)
 
 
-def _storm(told: argparse.Namespace) -> int:
+def _storm(options: argparse.Namespace) -> int:
     from switchhub.lab import storm
 
-    rows = storm.run(told.clients, told.wait_ms, told.rate, told.seconds, told.against, told.silent)
-    write(told.json, rows)
-    print(storm.table(rows))
+    rows = storm.run(
+        options.clients, options.wait_ms, options.rate, options.seconds, options.against, options.silent
+    )
+    write_json(options.json, rows)
+    print(storm.format_rows(rows))
     return 1 if any(row["late_up"] or row["reset"] or row["unanswered"] for row in rows) else 0
 
 
-def _perf(told: argparse.Namespace) -> int:
+def _perf(options: argparse.Namespace) -> int:
     from switchhub.lab import perf
 
-    found = perf.run(told.against, told.quick)
-    write(told.json, found)
-    print(perf.table(found))
+    figures = perf.run(options.against, options.quick)
+    write_json(options.json, figures)
+    print(perf.format_figures(figures))
     return 0
 
 
-def _upgrades(told: argparse.Namespace) -> int:
+def _upgrades(options: argparse.Namespace) -> int:
     from switchhub.lab.faults import upgrades
     from switchhub.lab.faults.stage import PlanError
 
     try:
-        found = upgrades.run([*told.plans, *map(upgrades.drawn, told.seeds)], told.at_once, told.shrink)
+        records = upgrades.run(
+            [*options.plans, *map(upgrades.drawn, options.seeds)], options.at_once, options.shrink
+        )
     except PlanError as error:
         raise argparse.ArgumentTypeError(str(error)) from None
-    write(told.json, found)
-    return 1 if any(each["faults"] for each in found) else 0
+    write_json(options.json, records)
+    return 1 if any(each["faults"] for each in records) else 0
 
 
-def _faults(told: argparse.Namespace) -> int:
+def _faults(options: argparse.Namespace) -> int:
     from switchhub.lab.faults import fleet, hunt
     from switchhub.lab.faults.stage import PlanError
 
-    if not 3 <= told.balancers <= 40:
-        raise argparse.ArgumentTypeError(f"--balancers {told.balancers}: expected 3 to 40")
-    if told.what == "hunt" and not told.seeds:
-        raise argparse.ArgumentTypeError("hunt: expected --seeds")
+    if not 3 <= options.balancers <= 40:
+        raise argparse.ArgumentTypeError(f"--balancers {options.balancers}: expected 3 to 40")
+    if options.what == "hunt" and not options.seeds:
+        raise argparse.ArgumentTypeError("hunt: expected --seeds, to generate plans from")
     try:
-        if told.what == "replay":
-            plans = [plan for path in told.files for plan in hunt.replayed(path)]
+        if options.what == "replay":
+            plans = [plan for path in options.files for plan in hunt.replayed(path)]
         else:
-            plans = [fleet.read(path.read_text(encoding="utf-8"), str(path)) for path in told.files]
-            plans += [hunt.drawn(seed, told.balancers, told.duties) for seed in told.seeds]
+            plans = [fleet.read(path.read_text(encoding="utf-8"), str(path)) for path in options.files]
+            plans += [hunt.drawn(seed, options.balancers, options.duties) for seed in options.seeds]
     except (PlanError, OSError, UnicodeDecodeError) as error:
         raise argparse.ArgumentTypeError(str(error)) from None
     if not plans:
-        raise argparse.ArgumentTypeError(f"{told.what}: expected a file")
-    if told.what == "shrink":
+        raise argparse.ArgumentTypeError(f"{options.what}: expected at least one FILE")
+    if options.what == "shrink":
         for plan in plans:
             print(hunt.shrunk(plan).toml())
         return 0
-    found = hunt.run(plans, told.at_once, told.shrink)
-    write(told.json, found)
-    return 1 if any(each["faults"] for each in found) else 0
+    records = hunt.run(plans, options.at_once, options.shrink)
+    write_json(options.json, records)
+    return 1 if any(each["faults"] for each in records) else 0
 
 
 VERBS: dict[str, Callable[[argparse.Namespace], int]] = {
@@ -394,19 +479,20 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The exit status."""
-    told = _parser().parse_args(arguments)
-    # Danger: ended by a signal that nobody hears, a play would leave its processes behind.
+    """Run the command with these arguments; return the exit status."""
+    options = _parser().parse_args(arguments)
+    # Without a handler, SIGTERM would end this process at once and leave the processes of a run behind. As
+    # KeyboardInterrupt it lets each run stop them.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
-        return VERBS[told.verb](told)
+        return VERBS[options.verb](options)
     except ScenarioError as error:
-        for fault in error.faults:
-            print(f"lab: {fault}", file=sys.stderr)
+        for problem in error.faults:
+            print(f"lab: {problem}", file=sys.stderr)
         return 2
     except argparse.ArgumentTypeError as error:
         print(f"lab: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
-        logger.warning("interrupted")
+        logger.warning("interrupted by a signal")
         return 130
--- a/switchhub/lab/perf.py
+++ b/switchhub/lab/perf.py
@@ -1,11 +1,11 @@
-"""`lab perf`: what the balancer itself costs, beside the same stand-ins with no balancer between.
+"""`lab perf`: measures what the balancer itself costs, compared with direct connections to the same servers.
 
-Owns: the measurements, each with its ratio to the direct path of the same run, or to another checkout. Must
-never: compare figures of two runs.
+Each figure stands beside its ratio to the direct path, or to another checkout, of the same run; figures of
+different runs are not compared.
 
-Placements are timed in a process of their own, so that two checkouts never share modules. On sockets one
-process plays servers, one plays clients, and the balancer is the real program, pinned to one core where the
-machine has enough of them.
+Placements are timed in a process of their own, so that two checkouts never share modules. For the figures on
+sockets, one process runs the fake servers and this one the clients. The balancer is the real program, pinned
+to one core if the machine has at least four.
 """
 
 from __future__ import annotations
@@ -31,12 +31,15 @@
 from switchhub.lab.scenario import Scenario, parse
 
 Address = tuple[str, int]
-SIZES = (10, 100, 1000, 5000)
-REPEATS = 5
+SERVER_COUNTS = (10, 100, 1000, 5000)  # at which a placement is timed
+REPEATS = 5  # measurements of each rate, of which the median counts
 
 
-def placement(checkout: Path, servers: int, quick: bool) -> float:
-    """Microseconds of pick, up and end at so many servers; the median of five."""
+def measure_placement(checkout: Path, servers: int, quick: bool) -> float:
+    """Microseconds that a checkout's decision module takes to place, establish and end one connection.
+
+    The median of the repetitions that `placement.py` makes, with this many servers. Raises CalledProcessError
+    if it fails."""
     rounds = max(20, (4000 if quick else 20_000) // servers)
     script = Path(__file__).with_name("placement.py")
     command = [sys.executable, str(script), str(checkout), str(servers), str(rounds)]
@@ -44,13 +47,14 @@
     return round(float(out.stdout), 2)
 
 
-def _scenario(standing: int) -> Scenario:
+def _scenario(standing_connections: int) -> Scenario:
+    """Eight servers without delay or cost, and a balancer with three sockets for each connection."""
     return parse(
         {
             "name": "perf",
             "shows": "sound servers that cost nothing, for lab perf",
             "seconds": 3600.0,
-            "balancers": {"count": 1, "sockets": max(8192, 3 * standing)},
+            "balancers": {"count": 1, "sockets": max(8192, 3 * standing_connections)},
             "network": {"within_ms": 0.0, "between_ms": 0.0},
             "clients": {"load": 0.0, "standing": 0.0},
             "servers": [{"name": "s", "count": 8, "cores": 64, "message_ms": 0.0, "setup_work_ms": 0.0}],
@@ -59,23 +63,25 @@
     )
 
 
-class Stand:
-    """Servers, discovery and one real balancer, without the lab's clients."""
+class BalancerUnderTest:
+    """Fake servers, discovery and one real balancer; the clients are the caller's."""
 
-    def __init__(self, checkout: Path, standing: int, folder: Path, managed: bool = False) -> None:
-        self.runner = runner = Runner(_scenario(standing), 1, checkout, folder)
+    def __init__(
+        self, checkout: Path, standing_connections: int, folder: Path, with_management: bool = False
+    ) -> None:
+        self.runner = runner = Runner(_scenario(standing_connections), 1, checkout, folder)
         self.management = (runner.host, ports(runner.host, 1)[0])
-        if managed:
+        if with_management:
             runner.environ["BALANCER_MANAGEMENT"] = "{}:{}".format(*self.management)
 
     async def start(self) -> float:
-        """Seconds that the balancer took from its start to its first `PONG`."""
+        """Start every process; return the seconds from the balancer's start to its first `PONG`."""
         runner = self.runner
         (runner.folder / "plan.json").write_text(json.dumps(runner.plan), encoding="utf-8")
         for name in ("servers", "discovery"):
             await runner.part(name)
             await runner.ready(name, 20.0)
-        begin = time.perf_counter()
+        started_at = time.perf_counter()
         await runner.balancer(0)
         cores = sorted(os.sched_getaffinity(0))
         if len(cores) >= 4:
@@ -86,201 +92,220 @@
                 writer.write(b"PING\r\n")
                 if await reader.readline() == b"PONG\r\n":
                     writer.close()
-                    return time.perf_counter() - begin
+                    return time.perf_counter() - started_at
             await asyncio.sleep(0.005)
 
     async def stop(self) -> None:
-        """End every process."""
+        """Stop every process."""
         await self.runner.end()
 
     @property
-    def through(self) -> list[Address]:
-        """The balancer's address."""
+    def balancer_addresses(self) -> list[Address]:
+        """The balancer's client address, the only one of the list."""
         return [(self.runner.host, self.runner.plan["balancers"][0])]
 
     @property
-    def direct(self) -> list[Address]:
-        """The servers' own addresses."""
+    def server_addresses(self) -> list[Address]:
+        """The servers' own addresses, for connections that bypass the balancer."""
         return [(self.runner.host, each[0]) for each in self.runner.plan["servers"].values()]
 
-    def memory(self) -> int:
-        """Bytes that the balancer holds."""
+    def resident_bytes(self) -> int:
+        """Resident memory of the balancer's process."""
         pid = self.runner.balancers[0].pid
         return int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1]) * os.sysconf(
             "SC_PAGE_SIZE"
         )
 
 
-class Talker(asyncio.Protocol):
-    """One client: opens, then sends a line each time the last was answered, until told to stop."""
+class MessageClient(asyncio.Protocol):
+    """One client: opens a connection, then sends each message once the one before is answered.
+
+    It sends no further message once `sends_messages` is False, and none at all if it is False from the start.
+    Round trips are recorded in `round_trips`, in microseconds."""
 
-    def __init__(self, name: str, talks: bool, times: HdrHistogram | None) -> None:
+    def __init__(self, name: str, sends_messages: bool, round_trips: HdrHistogram | None) -> None:
         self.loop = asyncio.get_running_loop()
-        self.up = self.loop.create_future()
-        self.lines = 0
-        self._name, self.talks, self._times = name, talks, times
-        self._sent = 0.0
+        self.established = self.loop.create_future()  # whether the set-up succeeded
+        self.answered_messages = 0
+        self._name, self.sends_messages, self._round_trips = name, sends_messages, round_trips
+        self._sent_at = 0.0
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
-        """The first line."""
+        """Send the request line."""
         self.transport = transport
         transport.write(f"OPEN {self._name} {self._name} c=c,t=one,d=20000,h=1\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """`UP`, or the answer to a line."""
-        if not self.up.done():
-            self.up.set_result(data.startswith(b"UP "))
-            if self.talks:
-                self._say()
+        """Handle the answer to the request, and after that to each message."""
+        if not self.established.done():
+            self.established.set_result(data.startswith(b"UP "))
+            if self.sends_messages:
+                self._send_message()
             return
         if data.endswith(b"\r\n"):
-            self.lines += 1
-            if self._times is not None:
-                self._times.record_value(max(1, int((time.perf_counter() - self._sent) * 1e6)))
-            if self.talks:
-                self._say()
-
-    def _say(self) -> None:
-        self._sent = time.perf_counter()
+            self.answered_messages += 1
+            if self._round_trips is not None:
+                self._round_trips.record_value(max(1, int((time.perf_counter() - self._sent_at) * 1e6)))
+            if self.sends_messages:
+                self._send_message()
+
+    def _send_message(self) -> None:
+        self._sent_at = time.perf_counter()
         self.transport.write(b"M 1\r\n")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended."""
-        if not self.up.done():
-            self.up.set_result(False)
+        """A connection that ends before its answer was not set up."""
+        if not self.established.done():
+            self.established.set_result(False)
 
 
-class Names:
-    """Ids that no connection had before."""
+class ConnectionIds:
+    """Hands out connection ids, each one once."""
 
     def __init__(self) -> None:
         self._last = 0
 
-    def next(self) -> str:
-        """Another one."""
+    def next_id(self) -> str:
+        """An id that has not been handed out before."""
         self._last += 1
         return f"{self._last:016x}"
 
 
-async def lines(
-    ports: list[Address], names: Names, clients: int, seconds: float
+async def measure_message_rate(
+    addresses: list[Address], ids: ConnectionIds, clients: int, seconds: float
 ) -> tuple[float, HdrHistogram]:
-    """Lines a second and round trips of so many clients that each wait for their answer."""
+    """Messages a second, and round trips in microseconds, of clients that each wait for every answer.
+
+    Raises RuntimeError if a connection can't be set up."""
     loop = asyncio.get_running_loop()
-    times = HdrHistogram(1, 60_000_000, 3)
-    talkers: list[Talker] = []
+    round_trips = HdrHistogram(1, 60_000_000, 3)
+    message_clients: list[MessageClient] = []
     for number in range(clients):
-        _, talker = await loop.create_connection(
-            lambda: Talker(names.next(), True, times), *ports[number % len(ports)]
+        _, client = await loop.create_connection(
+            lambda: MessageClient(ids.next_id(), True, round_trips), *addresses[number % len(addresses)]
+        )
+        message_clients.append(client)
+    if not all(await asyncio.gather(*(each.established for each in message_clients))):
+        raise RuntimeError(
+            "lab perf: a connection was refused or failed, so the message rate is not measured"
         )
-        talkers.append(talker)
-    if not all(await asyncio.gather(*(each.up for each in talkers))):
-        raise RuntimeError("a set-up failed in lab perf")
     await asyncio.sleep(0.2)
-    before, begin = sum(each.lines for each in talkers), time.perf_counter()
-    times.reset()
+    before, started_at = sum(each.answered_messages for each in message_clients), time.perf_counter()
+    round_trips.reset()
     await asyncio.sleep(seconds)
-    rate = (sum(each.lines for each in talkers) - before) / (time.perf_counter() - begin)
-    for each in talkers:
-        each.talks = False
+    rate = (sum(each.answered_messages for each in message_clients) - before) / (
+        time.perf_counter() - started_at
+    )
+    for each in message_clients:
+        each.sends_messages = False
         each.transport.close()
-    return rate, times
+    return rate, round_trips
 
 
-async def setups(ports: list[Address], names: Names, at_once: int, seconds: float) -> float:
-    """Connections set up and ended a second, so many at a time."""
+async def measure_setup_rate(
+    addresses: list[Address], ids: ConnectionIds, concurrency: int, seconds: float
+) -> float:
+    """Connections set up and closed a second, by this many clients at a time; failed set-ups don't count."""
     loop = asyncio.get_running_loop()
-    done = 0
+    completed = 0
     until = time.perf_counter() + seconds
 
-    async def one(number: int) -> None:
-        nonlocal done
+    async def set_up_and_close(number: int) -> None:
+        nonlocal completed
         while time.perf_counter() < until:
-            _, talker = await loop.create_connection(
-                lambda: Talker(names.next(), False, None), *ports[(number + done) % len(ports)]
+            _, client = await loop.create_connection(
+                lambda: MessageClient(ids.next_id(), False, None),
+                *addresses[(number + completed) % len(addresses)],
             )
-            served = await talker.up  # first, for others count meanwhile
-            done += bool(served)
-            talker.transport.close()
+            established = await client.established  # before `+=`: other tasks add to `completed` meanwhile
+            completed += bool(established)
+            client.transport.close()
 
-    begin = time.perf_counter()
-    await asyncio.gather(*(one(number) for number in range(at_once)))
-    return done / (time.perf_counter() - begin)
+    started_at = time.perf_counter()
+    await asyncio.gather(*(set_up_and_close(number) for number in range(concurrency)))
+    return completed / (time.perf_counter() - started_at)
 
 
-async def held(stand: Stand, names: Names, count: int) -> float:
-    """Bytes for each standing idle connection."""
+async def measure_memory_per_connection(balancer: BalancerUnderTest, ids: ConnectionIds, count: int) -> float:
+    """Bytes of the balancer's resident memory for each idle connection, measured with `count` of them."""
     loop = asyncio.get_running_loop()
-    before = stand.memory()
-    talkers = []
+    before = balancer.resident_bytes()
+    message_clients = []
     for number in range(count):
-        _, talker = await loop.create_connection(lambda: Talker(names.next(), False, None), *stand.through[0])
-        talkers.append(talker)
+        _, client = await loop.create_connection(
+            lambda: MessageClient(ids.next_id(), False, None), *balancer.balancer_addresses[0]
+        )
+        message_clients.append(client)
         if number % 100 == 99:
-            await asyncio.gather(*(each.up for each in talkers[-100:]))
-    await asyncio.gather(*(each.up for each in talkers))
-    after = stand.memory()
-    for each in talkers:
+            await asyncio.gather(*(each.established for each in message_clients[-100:]))
+    await asyncio.gather(*(each.established for each in message_clients))
+    after = balancer.resident_bytes()
+    for each in message_clients:
         each.transport.close()
     return (after - before) / count
 
 
-async def sockets(checkout: Path, quick: bool, folder: Path) -> dict[str, Any]:
-    """Figures of one checkout on sockets, direct and through it in turn."""
+async def measure_on_sockets(checkout: Path, quick: bool, folder: Path) -> dict[str, Any]:
+    """One checkout's figures on sockets.
+
+    Direct connections and those through its balancer take turns, so that both meet the same state of the
+    machine."""
     count, seconds, repeats = (500, 0.5, 1) if quick else (3000, 1.5, REPEATS)
-    stand, names = Stand(checkout, count, folder), Names()
+    balancer, ids = BalancerUnderTest(checkout, count, folder), ConnectionIds()
     try:
-        found: dict[str, Any] = {"start_s": round(await stand.start(), 3)}
-        found["idle_mb"] = round(stand.memory() / 1e6, 1)
-        rows: dict[str, list[float]] = {}
+        figures: dict[str, Any] = {"start_s": round(await balancer.start(), 3)}
+        figures["idle_mb"] = round(balancer.resident_bytes() / 1e6, 1)
+        rates: dict[str, list[float]] = {}
         direct_times, through_times = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)
         for _ in range(repeats):
-            for name, ports, times in (
-                ("direct", stand.direct, direct_times),
-                ("through", stand.through, through_times),
+            for name, addresses, times in (
+                ("direct", balancer.server_addresses, direct_times),
+                ("through", balancer.balancer_addresses, through_times),
             ):
-                rate, seen = await lines(ports, names, 20, seconds)
-                rows.setdefault(f"lines_{name}", []).append(rate)
-                times.add(seen)
-                rows.setdefault(f"setups_{name}", []).append(await setups(ports, names, 20, seconds))
-        found.update({name: round(median(each)) for name, each in rows.items()})
-        found["lines_ratio"] = round(found["lines_through"] / found["lines_direct"], 3)
-        found["setups_ratio"] = round(found["setups_through"] / found["setups_direct"], 3)
+                rate, round_trips = await measure_message_rate(addresses, ids, 20, seconds)
+                rates.setdefault(f"lines_{name}", []).append(rate)
+                times.add(round_trips)
+                rates.setdefault(f"setups_{name}", []).append(
+                    await measure_setup_rate(addresses, ids, 20, seconds)
+                )
+        figures.update({name: round(median(each)) for name, each in rates.items()})
+        figures["lines_ratio"] = round(figures["lines_through"] / figures["lines_direct"], 3)
+        figures["setups_ratio"] = round(figures["setups_through"] / figures["setups_direct"], 3)
         for each in (50.0, 99.0, 99.9):
             added = through_times.get_value_at_percentile(each) - direct_times.get_value_at_percentile(each)
-            found[f"added_p{each:g}_us"] = added
-        found["bytes_per_connection"] = round(await held(stand, names, count))
-        return found
+            figures[f"added_p{each:g}_us"] = added
+        figures["bytes_per_connection"] = round(await measure_memory_per_connection(balancer, ids, count))
+        return figures
     finally:
-        await stand.stop()
+        await balancer.stop()
 
 
 def run(against: Path | None = None, quick: bool = False) -> dict[str, Any]:
-    """All figures of this checkout, and of another one in turn."""
-    sides = {"this": ROOT, **({"against": against} if against is not None else {})}
-    found: dict[str, Any] = {name: {} for name in sides}
-    for size in SIZES[:2] if quick else SIZES:
-        for name, checkout in sides.items():
-            found[name][f"placement_{size}_us"] = placement(checkout, size, quick)
-    for name, checkout in sides.items():
+    """All figures of this checkout under "this", and of another one, measured in turn, under "against"."""
+    checkouts = {"this": ROOT, **({"against": against} if against is not None else {})}
+    figures: dict[str, Any] = {name: {} for name in checkouts}
+    for servers in SERVER_COUNTS[:2] if quick else SERVER_COUNTS:
+        for name, checkout in checkouts.items():
+            figures[name][f"placement_{servers}_us"] = measure_placement(checkout, servers, quick)
+    for name, checkout in checkouts.items():
         with tempfile.TemporaryDirectory(prefix="switchhub-lab-") as folder:
-            found[name].update(asyncio.run(sockets(checkout, quick, Path(folder))))
-    return found
+            figures[name].update(asyncio.run(measure_on_sockets(checkout, quick, Path(folder))))
+    return figures
 
 
-def table(found: dict[str, Any]) -> str:
-    """As a table; with another checkout, the ratio of this one to it."""
+def format_figures(figures: dict[str, Any]) -> str:
+    """The figures as a text table; with another checkout, also the ratio of this one's to its."""
     out = Table(box=None, pad_edge=False)
     out.add_column("figure")
-    for name in found:
+    for name in figures:
         out.add_column(name, justify="right")
-    if "against" in found:
+    if "against" in figures:
         out.add_column("this / against", justify="right")
-    for key, value in found["this"].items():
-        cells = [f"{found[name][key]:g}" for name in found]
-        if "against" in found:
-            other = found["against"][key]
+    for key, value in figures["this"].items():
+        cells = [f"{figures[name][key]:g}" for name in figures]
+        if "against" in figures:
+            other = figures["against"][key]
             cells.append(f"{value / other:.2f}" if other else "")
         out.add_row(key, *cells)
     text = io.StringIO()
--- a/switchhub/lab/stats_poller.py
+++ b/switchhub/lab/stats_poller.py
@@ -1,7 +1,8 @@
-"""Staff that call a balancer's management address while something else goes on, and callers that say nothing.
+"""Polls a balancer's management address for its figures while a test load runs on its client port.
 
-Owns: their sockets and one thread. Must never: share an event loop with clients or servers of the lab, whose
-own lateness would count as the balancer's.
+The poller can hold idle connections to the management address meanwhile: clients that connect and never
+complete a request, as a stuck or hostile caller would. It runs in threads of its own: in the event loop of
+the lab's clients or servers, their scheduling delay would be measured as the balancer's response time.
 """
 
 from __future__ import annotations
@@ -14,81 +15,84 @@
 
 from hdrh.histogram import HdrHistogram
 
-EVERY = 0.05  # seconds from one call's answer to the next call
-DUE = 1.0  # seconds in which an answer is due
-GIVEN_UP = 5.0
-CALL = b"GET /stats HTTP/1.1\r\nHost: balancer\r\n\r\n"
+POLL_INTERVAL_S = 0.05  # from the response to one request until the next request
+RESPONSE_DUE_S = 1.0  # a response that takes longer counts as late
+SOCKET_TIMEOUT_S = 5.0  # for connecting and for each read; after that the request counts as wrong
+STATS_REQUEST = b"GET /stats HTTP/1.1\r\nHost: balancer\r\n\r\n"
 
 
 class StatsPoller:
-    """Calls for the figures, one after the other, beside so many silent callers that always come back."""
+    """Requests `/stats` over and over, with a number of idle connections to the same address beside it."""
 
-    def __init__(self, at: tuple[str, int], silent: int) -> None:
-        self._at, self._silent = at, silent
-        self._times = HdrHistogram(1, 60_000_000, 3)
-        self._calls = self._wrong = self._late = 0
-        self._over = threading.Event()
-        self._threads = [threading.Thread(target=self._call, daemon=True)]
-        if silent:
-            self._threads.append(threading.Thread(target=self._stay, daemon=True))
+    def __init__(self, address: tuple[str, int], idle_connections: int) -> None:
+        self._address, self._idle_connections = address, idle_connections
+        self._response_times = HdrHistogram(1, 60_000_000, 3)  # microseconds, three significant digits
+        self._requests = self._wrong = self._late = 0
+        self._stopped = threading.Event()
+        self._threads = [threading.Thread(target=self._poll, daemon=True)]
+        if idle_connections:
+            self._threads.append(threading.Thread(target=self._hold_idle_connections, daemon=True))
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start the threads that poll and that hold the idle connections."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> dict[str, Any]:
-        """End; how long the answers took."""
-        self._over.set()
+        """Stop the threads; return how many requests were sent, late or wrong, and the response times."""
+        self._stopped.set()
         for thread in self._threads:
-            thread.join(2 * GIVEN_UP)
+            thread.join(2 * SOCKET_TIMEOUT_S)
         return {
-            "calls": self._calls,
+            "calls": self._requests,
             "calls_late": self._late,
             "calls_wrong": self._wrong,
-            "call_p50_ms": self._times.get_value_at_percentile(50) / 1000,
-            "call_p99_ms": self._times.get_value_at_percentile(99) / 1000,
-            "call_worst_ms": self._times.get_max_value() / 1000,
+            "call_p50_ms": self._response_times.get_value_at_percentile(50) / 1000,
+            "call_p99_ms": self._response_times.get_value_at_percentile(99) / 1000,
+            "call_worst_ms": self._response_times.get_max_value() / 1000,
         }
 
-    def _call(self) -> None:
-        while not self._over.wait(EVERY):
-            self._calls += 1
-            begun = time.perf_counter()
+    def _poll(self) -> None:
+        """Request the figures one by one until stopped. An incomplete response counts as wrong."""
+        while not self._stopped.wait(POLL_INTERVAL_S):
+            self._requests += 1
+            sent_at = time.perf_counter()
             try:
-                with socket.create_connection(self._at, GIVEN_UP) as sock:
-                    sock.sendall(CALL)
-                    told = b""
-                    while piece := sock.recv(65536):
-                        told += piece
+                with socket.create_connection(self._address, SOCKET_TIMEOUT_S) as sock:
+                    sock.sendall(STATS_REQUEST)
+                    response = b""
+                    while chunk := sock.recv(65536):
+                        response += chunk
             except OSError:
-                told = b""
-            took = time.perf_counter() - begun
-            self._times.record_value(max(1, int(took * 1e6)))
-            self._late += took > DUE
-            self._wrong += not (told.startswith(b"HTTP/1.1 200 ") and told.endswith(b"|g\n"))
+                response = b""
+            response_time = time.perf_counter() - sent_at
+            self._response_times.record_value(max(1, int(response_time * 1e6)))
+            self._late += response_time > RESPONSE_DUE_S
+            self._wrong += not (response.startswith(b"HTTP/1.1 200 ") and response.endswith(b"|g\n"))
 
-    def _stay(self) -> None:
-        """Connect, send half a call or nothing, stay; whoever is given up comes again."""
-        held: list[socket.socket] = []
-        number = 0
-        while not self._over.wait(EVERY / 5):
-            for sock in list(held):
+    def _hold_idle_connections(self) -> None:
+        """Keep the idle connections open until stopped, and replace each one that the balancer closes.
+
+        Every second connection has sent the beginning of a request, the others nothing."""
+        connections: list[socket.socket] = []
+        opened = 0
+        while not self._stopped.wait(POLL_INTERVAL_S / 5):
+            for sock in list(connections):
                 with contextlib.suppress(BlockingIOError):
                     try:
-                        gone = not sock.recv(1)
+                        closed = not sock.recv(1)
                     except ConnectionError:
-                        gone = True
-                    if gone:
+                        closed = True
+                    if closed:
                         sock.close()
-                        held.remove(sock)
+                        connections.remove(sock)
             with contextlib.suppress(OSError):
-                while len(held) < self._silent:
-                    sock = socket.create_connection(self._at, GIVEN_UP)
+                while len(connections) < self._idle_connections:
+                    sock = socket.create_connection(self._address, SOCKET_TIMEOUT_S)
                     sock.setblocking(False)
-                    held.append(sock)
-                    number += 1
-                    if number % 2:
-                        sock.send(CALL[: number % 20 + 1])
-        for sock in held:
+                    connections.append(sock)
+                    opened += 1
+                    if opened % 2:
+                        sock.send(STATS_REQUEST[: opened % 20 + 1])
+        for sock in connections:
             sock.close()
--- a/switchhub/lab/storm.py
+++ b/switchhub/lab/storm.py
@@ -1,8 +1,8 @@
-"""`lab storm`: many clients at once, or at a rate, at one real balancer between sound servers; who is
-answered when.
+"""`lab storm`: many clients connect at once, or at a given rate, to one real balancer with healthy servers
+behind it. Counts how each client was answered, and when.
 
-Owns: the storm's processes. Must never: count what the machine's own accept queue turned away as the
-balancer's.
+A client whose connection the kernel's accept queue dropped, so that its segments had to be sent again, is
+counted apart: that delay is the machine's, not the balancer's.
 """
 
 from __future__ import annotations
@@ -21,93 +21,98 @@
 from rich.table import Table
 
 from switchhub.lab.live.runner import ROOT
-from switchhub.lab.perf import Names, Stand, setups
+from switchhub.lab.perf import BalancerUnderTest, ConnectionIds, measure_setup_rate
 from switchhub.lab.stats_poller import StatsPoller
 
-WORKERS = 4
-SETTLE = 0.5  # seconds between the calm rate and the storm
-BINS = ("served", "refused", "late_up", "late", "reset", "unanswered", "dropped", "unconnected")
+WORKERS = 4  # client processes
+PAUSE_S = 0.5  # between the storm and each of the two rate measurements around it
+OUTCOMES = ("served", "refused", "late_up", "late", "reset", "unanswered", "dropped", "unconnected")
 
 
-def sort_out(found: list[list[Any]], wait: float) -> dict[str, Any]:
-    """Clients by what became of them; `wait` in seconds from a client's last byte."""
-    counts = dict.fromkeys((*BINS, "dropped_up"), 0)
-    times = HdrHistogram(1, 60_000_000, 3)
-    for sent, answered, word, dropped in found:
-        in_time = answered is not None and answered - sent <= wait
-        if word == "unconnected":
+def count_outcomes(results: list[list[Any]], wait_s: float) -> dict[str, Any]:
+    """Count clients by outcome. `results` are the lists that `storm_clients` prints; an answer is in time if
+    it came within `wait_s` of the client's request."""
+    counts = dict.fromkeys((*OUTCOMES, "dropped_up"), 0)
+    served_times = HdrHistogram(1, 60_000_000, 3)  # microseconds, three significant digits
+    for sent_at, answered_at, outcome, retransmitted in results:
+        in_time = answered_at is not None and answered_at - sent_at <= wait_s
+        if outcome == "unconnected":
             counts["unconnected"] += 1
-        elif dropped and not in_time:  # the machine's accept queue was full, and its bytes came late
+        elif retransmitted and not in_time:  # the kernel's accept queue was full, so the request came late
             counts["dropped"] += 1
-            counts["dropped_up"] += word == "UP"
-        elif answered is None:
-            counts["reset" if word in ("reset", "ended") else "unanswered"] += 1
-        elif answered - sent > wait:
-            counts["late_up" if word == "UP" else "late"] += 1
+            counts["dropped_up"] += outcome == "UP"
+        elif answered_at is None:
+            counts["reset" if outcome in ("reset", "ended") else "unanswered"] += 1
+        elif answered_at - sent_at > wait_s:
+            counts["late_up" if outcome == "UP" else "late"] += 1
         else:
-            counts["served" if word == "UP" else "refused"] += 1
-            if word == "UP":
-                times.record_value(max(1, int((answered - sent) * 1e6)))
-    taken = len(found) - counts["unconnected"] - counts["dropped"]
-    good = counts["served"] + counts["refused"]
+            counts["served" if outcome == "UP" else "refused"] += 1
+            if outcome == "UP":
+                served_times.record_value(max(1, int((answered_at - sent_at) * 1e6)))
+    accepted = len(results) - counts["unconnected"] - counts["dropped"]
+    answered_in_time = counts["served"] + counts["refused"]
     return {
-        "clients": len(found),
+        "clients": len(results),
         **counts,
-        "in_time": round(good / taken, 5) if taken else 1.0,
-        "served_p50_ms": times.get_value_at_percentile(50) / 1000,
-        "served_p99_ms": times.get_value_at_percentile(99) / 1000,
+        "in_time": round(answered_in_time / accepted, 5) if accepted else 1.0,
+        "served_p50_ms": served_times.get_value_at_percentile(50) / 1000,
+        "served_p99_ms": served_times.get_value_at_percentile(99) / 1000,
     }
 
 
-async def _play(
-    checkout: Path, clients: int, wait_ms: int, rate: float, folder: Path, silent: int | None
+async def _run_storm(
+    checkout: Path, clients: int, wait_ms: int, rate: float, folder: Path, idle_connections: int | None
 ) -> dict[str, Any]:
-    stand, names = Stand(checkout, 5000, folder, silent is not None), Names()
-    callers = StatsPoller(stand.management, silent or 0) if silent is not None else None
+    """Run one storm; return its row. The set-up rate is measured before and after it, with 20 clients."""
+    balancer, ids = (
+        BalancerUnderTest(checkout, 5000, folder, idle_connections is not None),
+        ConnectionIds(),
+    )
+    poller = StatsPoller(balancer.management, idle_connections or 0) if idle_connections is not None else None
     workers: list[asyncio.subprocess.Process] = []
     try:
-        await stand.start()
-        if callers is not None:
-            callers.start()
-        calm = await setups(stand.through, names, 20, 1.0)
-        await asyncio.sleep(SETTLE)
-        (host, port) = stand.through[0]
+        await balancer.start()
+        if poller is not None:
+            poller.start()
+        rate_before = await measure_setup_rate(balancer.balancer_addresses, ids, 20, 1.0)
+        await asyncio.sleep(PAUSE_S)
+        (host, port) = balancer.balancer_addresses[0]
         start = time.monotonic() + 0.5
         for number in range(WORKERS):
             count = clients // WORKERS + (number < clients % WORKERS)
-            told = (host, port, f"127.0.{1 + number}.1", count, wait_ms, start, rate / WORKERS)
+            arguments = (host, port, f"127.0.{1 + number}.1", count, wait_ms, start, rate / WORKERS)
             workers.append(
                 await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "switchhub.lab.storm_clients",
-                    *(str(each) for each in told),
+                    *(str(each) for each in arguments),
                     str((number + 1) * 10_000_000),
                     cwd=ROOT,
                     stdout=asyncio.subprocess.PIPE,
                 )
             )
-        found: list[list[Any]] = []
+        results: list[list[Any]] = []
         for out, _ in await asyncio.gather(*(each.communicate() for each in workers)):
-            found += json.loads(out)
-        await asyncio.sleep(SETTLE)
-        after = await setups(stand.through, names, 20, 1.0)
-        sent = [each[0] for each in found if each[0]]
-        sorted_out = sort_out(found, wait_ms / 1000)
-        span = max(max(sent) - min(sent), wait_ms / 1000)
-        calls = callers.stop() if callers is not None else {}
+            results += json.loads(out)
+        await asyncio.sleep(PAUSE_S)
+        rate_after = await measure_setup_rate(balancer.balancer_addresses, ids, 20, 1.0)
+        sent_times = [each[0] for each in results if each[0]]
+        outcomes = count_outcomes(results, wait_ms / 1000)
+        duration_s = max(max(sent_times) - min(sent_times), wait_ms / 1000)
+        poll_figures = poller.stop() if poller is not None else {}
         return {
-            **sorted_out,
-            **calls,
-            "served_per_s": round(sorted_out["served"] / span),
-            "calm_rate": round(calm),
-            "rate_after": round(after),
+            **outcomes,
+            **poll_figures,
+            "served_per_s": round(outcomes["served"] / duration_s),
+            "calm_rate": round(rate_before),
+            "rate_after": round(rate_after),
         }
     finally:
         for each in workers:
             if each.returncode is None:
                 each.kill()
-        await stand.stop()
+        await balancer.stop()
 
 
 def run(
@@ -116,19 +121,24 @@
     rate: float,
     seconds: float,
     against: Path | None,
-    silent: int | None = None,
+    idle_connections: int | None = None,
 ) -> list[dict[str, Any]]:
-    """One row for each storm; with a rate, one for so many seconds of it. `silent`: with calls of the staff
-    beside so many callers that say nothing."""
+    """Run one storm for each of `sizes`, or one of `rate` connections a second for `seconds` if `rate` is not
+    0; return a row for each.
+
+    `against` is the checkout whose balancer runs, this one if None. Unless `idle_connections` is None, the
+    balancer's management address is polled meanwhile, with that many idle connections to it."""
     rows = []
     for size in [round(rate * seconds)] if rate else sizes:
         with tempfile.TemporaryDirectory(prefix="switchhub-lab-") as folder:
-            rows.append(asyncio.run(_play(against or ROOT, size, wait_ms, rate, Path(folder), silent)))
+            rows.append(
+                asyncio.run(_run_storm(against or ROOT, size, wait_ms, rate, Path(folder), idle_connections))
+            )
     return rows
 
 
-def table(rows: list[dict[str, Any]]) -> str:
-    """As a table."""
+def format_rows(rows: list[dict[str, Any]]) -> str:
+    """The storms' rows as a text table, a column for each figure."""
     out = Table(box=None, pad_edge=False)
     for name in rows[0]:
         out.add_column(name, justify="right")
--- a/switchhub/lab/storm_clients.py
+++ b/switchhub/lab/storm_clients.py
@@ -1,11 +1,21 @@
-"""Run as `python -m switchhub.lab.storm_clients`: many clients at one balancer, as fast as one process
-connects.
-
-Owns: its sockets. Must never: judge; it writes down when each client's last byte went and what came when.
-
-Arguments: HOST PORT SOURCE COUNT WAIT_MS START RATE FIRST. Connections begin at START (CLOCK_MONOTONIC),
-all at once if RATE is 0, else as a Poisson process of that rate, each ended once it is answered. Prints a
-JSON list of [sent, answered or null, word, whether its bytes had to be sent again].
+"""Run as `python -m switchhub.lab.storm_clients`: opens many client connections to one balancer as fast as
+one process can, and prints what each client observed. `lab storm` evaluates it.
+
+Arguments: HOST PORT SOURCE COUNT WAIT_MS START RATE FIRST
+
+    HOST, PORT    the balancer's address
+    SOURCE        the local address to connect from
+    COUNT         how many connections to open
+    WAIT_MS       how long a client waits for an answer; sent as the deadline of its request
+    START         when to begin, in seconds on CLOCK_MONOTONIC
+    RATE          0: all connections at once, each kept open once it is answered; otherwise connections a
+                  second as a Poisson process, each closed once it is answered
+    FIRST         number of the first connection, from which ids are made; also the seed of the process
+
+Prints a JSON list with `[sent, answered, outcome, retransmitted]` for each client. Both times are in seconds
+on CLOCK_MONOTONIC; `sent` is 0 if the first line was not sent, `answered` is null without an answer.
+`outcome` is the first word of the answer, or `unconnected`, `reset`, `ended` or `nothing`. `retransmitted`
+tells whether the kernel sent any of the client's segments again.
 """
 
 from __future__ import annotations
@@ -21,52 +31,55 @@
 from random import Random
 
 IP_BIND_ADDRESS_NO_PORT = 24
-LISTENS = 1.5  # seconds past its wait that a client still listens, to hear what comes too late
-BATCH = 50  # connects between two looks at what has come
-TCP_INFO = struct.Struct("100xI")  # linux/tcp.h: total_retrans of tcp_info
-LINGER = struct.pack("ii", 1, 0)
+LATE_ANSWER_WINDOW_S = 1.5  # seconds past its wait that a client still reads, so that late answers are seen
+CONNECT_BATCH = 50  # connections opened between two polls of the selector
+TCP_INFO = struct.Struct("100xI")  # linux/tcp.h: the field total_retrans of tcp_info
+LINGER_ZERO = struct.pack("ii", 1, 0)  # l_onoff, l_linger: closing sends a reset
 
 
 class Client:
-    """One connection."""
+    """One connection to the balancer and what was observed on it. Times are in seconds, 0 if it has not
+    happened."""
 
-    __slots__ = ("answered", "dropped", "name", "sent", "sock", "word")
+    __slots__ = ("answered_at", "name", "outcome", "retransmitted", "sent_at", "sock")
 
     def __init__(self, sock: socket.socket, name: str) -> None:
         self.sock, self.name = sock, name
-        self.sent = self.answered = 0.0
-        self.word = ""
-        self.dropped = False
+        self.sent_at = self.answered_at = 0.0
+        self.outcome = ""
+        self.retransmitted = False
 
     def close(self) -> None:
-        """End it with a reset; whether its bytes had to be sent again is asked before."""
+        """Close the socket with a reset; the retransmissions are read before, while the socket has them."""
         if self.sock.fileno() >= 0:
-            self.dropped = _dropped(self)
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+            self.retransmitted = _was_retransmitted(self)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
             self.sock.close()
 
 
-def _read(client: Client, watch: selectors.BaseSelector, stays: bool) -> None:
+def _read(client: Client, selector: selectors.BaseSelector, stays_open: bool) -> None:
+    """Read from a client's socket; only the first answer counts. An ended connection is unregistered."""
     try:
         data = client.sock.recv(256)
     except BlockingIOError:
         return
     except OSError:
-        client.word = client.word or "reset"
-        watch.unregister(client.sock)
+        client.outcome = client.outcome or "reset"
+        selector.unregister(client.sock)
         return
-    if data and not client.word:
-        client.answered, client.word = time.monotonic(), data.split()[0].decode(errors="replace")
-        if not stays:
-            watch.unregister(client.sock)
+    if data and not client.outcome:
+        client.answered_at, client.outcome = time.monotonic(), data.split()[0].decode(errors="replace")
+        if not stays_open:
+            selector.unregister(client.sock)
             client.close()
     elif not data:
-        client.word = client.word or "ended"
-        watch.unregister(client.sock)
+        client.outcome = client.outcome or "ended"
+        selector.unregister(client.sock)
 
 
-def _dropped(client: Client) -> bool:
-    """Whether the other machine's accept queue was full: what this client sent had to be sent again."""
+def _was_retransmitted(client: Client) -> bool:
+    """Whether any segment of this client was retransmitted: on loopback, the balancer's accept queue was
+    full."""
     try:
         info = client.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO.size)
         return bool(TCP_INFO.unpack(info)[0])
@@ -75,21 +88,23 @@
 
 
 def main() -> None:
-    """Play them all."""
-    host, port, source, count, wait, start, rate, first = sys.argv[1:]
-    total, patience, every = int(count), float(wait) / 1000, float(rate)
+    """Open all connections, wait for their answers, and print what each client observed."""
+    host, port, source, count, wait_ms, start, rate_text, first = sys.argv[1:]
+    total, wait_s, rate = int(count), float(wait_ms) / 1000, float(rate_text)
     rng = Random(first)
     clients: list[Client] = []
-    watch = selectors.DefaultSelector()
+    selector = selectors.DefaultSelector()
     time.sleep(max(0.0, float(start) - time.monotonic()))
-    due, pending = float(start), 0
-    last = time.monotonic()
-    while len(clients) < total or pending or time.monotonic() < last + patience + LISTENS:
+    next_connect_at, connecting = float(start), 0
+    last_sent_at = time.monotonic()
+    while (
+        len(clients) < total or connecting or time.monotonic() < last_sent_at + wait_s + LATE_ANSWER_WINDOW_S
+    ):
         now = time.monotonic()
-        for _ in range(BATCH):
-            if len(clients) >= total or due > now:
+        for _ in range(CONNECT_BATCH):
+            if len(clients) >= total or next_connect_at > now:
                 break
-            due += rng.expovariate(every) if every else 0.0
+            next_connect_at += rng.expovariate(rate) if rate else 0.0
             sock = socket.socket()
             sock.setblocking(False)
             with contextlib.suppress(OSError):
@@ -99,33 +114,33 @@
             clients.append(client)
             code = sock.connect_ex((host, int(port)))
             if code not in (0, errno.EINPROGRESS):
-                client.word = "unconnected"
+                client.outcome = "unconnected"
                 continue
-            pending += 1
-            watch.register(sock, selectors.EVENT_WRITE, client)
-        for key, events in watch.select(0 if len(clients) < total else 0.01):
+            connecting += 1
+            selector.register(sock, selectors.EVENT_WRITE, client)
+        for key, events in selector.select(0 if len(clients) < total else 0.01):
             client = key.data
             if events & selectors.EVENT_WRITE:
-                pending -= 1
-                line = f"OPEN {client.name} {client.name} c=c,t=one,d={wait},h=1000\r\n".encode()
+                connecting -= 1
+                line = f"OPEN {client.name} {client.name} c=c,t=one,d={wait_ms},h=1000\r\n".encode()
                 try:
                     client.sock.send(line)
                 except OSError:
-                    client.word = "unconnected"
-                    watch.unregister(client.sock)
+                    client.outcome = "unconnected"
+                    selector.unregister(client.sock)
                     continue
-                client.sent = last = time.monotonic()
-                watch.modify(client.sock, selectors.EVENT_READ, client)
+                client.sent_at = last_sent_at = time.monotonic()
+                selector.modify(client.sock, selectors.EVENT_READ, client)
             else:
-                _read(client, watch, not every)
-        if pending and now > last + 10 and len(clients) == total:
-            break  # what the accept queue has turned away
-    found = []
+                _read(client, selector, not rate)
+        if connecting and now > last_sent_at + 10 and len(clients) == total:
+            break  # no connection was established for 10 s: the kernel's accept queue dropped the rest
+    results = []
     for client in clients:
-        word = client.word or ("unconnected" if not client.sent else "nothing")
+        outcome = client.outcome or ("unconnected" if not client.sent_at else "nothing")
         client.close()
-        found.append([client.sent, client.answered or None, word, client.dropped])
-    print(json.dumps(found))
+        results.append([client.sent_at, client.answered_at or None, outcome, client.retransmitted])
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
