--- a/switchhub/lab/cli.py
+++ b/switchhub/lab/cli.py
@@ -327,7 +327,7 @@
             return 2
         from switchhub.lab.live import runner
 
-        result = runner.play(scenario, options.seed, options.against)
+        result = runner.run_live(scenario, options.seed, options.against)
     else:
         result = run_job_with_progress(
             Job(scenario, options.seed, options.policy, options.against, options.keep_on or None)
@@ -391,7 +391,7 @@
     selected = (
         read_scenarios(options.files)
         if options.files
-        else [each for each in default_scenarios() if runner.fits(each) is None]
+        else [each for each in default_scenarios() if runner.unfit_reason(each) is None]
     )
     return report.compare_engines(selected, options.seed)
 
--- a/switchhub/lab/report.py
+++ b/switchhub/lab/report.py
@@ -147,7 +147,7 @@
     failures = 0
     print(f"{'scenario':18} {'model':>7} {'live':>7} {'differ':>7}  note")
     for scenario in scenarios:
-        simulated, live = run_job(Job(scenario, seed)), runner.play(scenario, seed)
+        simulated, live = run_job(Job(scenario, seed)), runner.run_live(scenario, seed)
         difference = abs(simulated["service"] - live["service"])
         note = "live run not valid: " + live["unfit"] if live.get("unfit") else ""
         for name, each in (("model", simulated), ("live", live)):
