--- a/switchhub/lab/cli.py
+++ b/switchhub/lab/cli.py
@@ -20,9 +20,9 @@
 
 from switchhub.lab import scenario as scenarios
 from switchhub.lab.baselines import POLICIES
+from switchhub.lab.run_statistics import dump_json
 from switchhub.lab.runs import Job, run_job_with_progress, run_jobs
 from switchhub.lab.scenario import Scenario, ScenarioError
-from switchhub.lab.tally import dump
 
 SCENARIO_DIRECTORY = Path(__file__).parent.parent.parent / "lab" / "scenarios"
 # Scenarios with more standing connections are left out unless they are named.
@@ -258,9 +258,9 @@
     problems: list[str] = []
     for path in files:
         try:
-            valid_scenarios.append(scenarios.read(path))
+            valid_scenarios.append(scenarios.read_scenario(path))
         except ScenarioError as error:
-            problems += error.faults
+            problems += error.problems
     if problems:
         raise ScenarioError(problems)
     return valid_scenarios
@@ -271,14 +271,14 @@
     return [
         each
         for each in read_scenarios(sorted(SCENARIO_DIRECTORY.glob("*.toml")))
-        if each.standing <= DEFAULT_STANDING_CONNECTIONS_MAX
+        if each.standing_connections <= DEFAULT_STANDING_CONNECTIONS_MAX
     ]
 
 
 def write_json(path: Path | None, data: Any) -> None:
     """Write data as JSON; nothing if `path` is None."""
     if path is not None:
-        path.write_text(dump(data), encoding="utf-8")
+        path.write_text(dump_json(data), encoding="utf-8")
 
 
 def print_result(result: dict[str, Any]) -> int:
@@ -312,7 +312,10 @@
 
 def _check(options: argparse.Namespace) -> int:
     for each in read_scenarios(options.files):
-        print(f"{each.name}: {len(each.server_names())} servers, {each.standing} standing connections, valid")
+        print(
+            f"{each.name}: valid; {len(each.server_names())} servers, "
+            f"{each.standing_connections} standing connections"
+        )
     return 0
 
 
@@ -487,7 +490,7 @@
     try:
         return VERBS[options.verb](options)
     except ScenarioError as error:
-        for problem in error.faults:
+        for problem in error.problems:
             print(f"lab: {problem}", file=sys.stderr)
         return 2
     except argparse.ArgumentTypeError as error:
--- a/switchhub/lab/hunt.py
+++ b/switchhub/lab/hunt.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from switchhub.lab.runs import Job, run_job, run_jobs
-from switchhub.lab.scenario import Scenario, ScenarioError, parse
+from switchhub.lab.scenario import Scenario, ScenarioError, parse_scenario
 
 VIOLATION_LOSS = 10.0  # the loss that a broken rule counts as; service is at most 1
 SHRUNK_SCENARIOS_MAX = 3  # how many of the worst scenarios are shrunk and written
@@ -108,7 +108,7 @@
 
 def run_and_evaluate(data: dict[str, Any], seed: int) -> Evaluation:
     """Run a scenario with both policies and evaluate it; raises ScenarioError if the data is not valid."""
-    scenario = parse(data)
+    scenario = parse_scenario(data)
     return evaluate(data, seed, [run_job(Job(scenario, seed, policy)) for policy in ("design", "oracle")])
 
 
@@ -190,7 +190,7 @@
         elif value != []:
             plain_lines.append(f"{key} = {_toml_value(value)}")
     text = "\n".join([*plain_lines, *table_lines]) + "\n"
-    if parse(tomllib.loads(text)) != parse(data):
+    if parse_scenario(tomllib.loads(text)) != parse_scenario(data):
         raise RuntimeError("the TOML text of a scenario does not parse back to the same scenario")
     return text
 
@@ -214,7 +214,7 @@
         number += 1
         data = draw_scenario(Random(f"{seed}/hunt/{number}"), number)
         try:
-            drawn.append((data, number, parse(data)))
+            drawn.append((data, number, parse_scenario(data)))
         except ScenarioError as error:
             raise RuntimeError(f"a generated scenario is not valid: {error}") from None
     jobs = [
--- a/switchhub/lab/perf.py
+++ b/switchhub/lab/perf.py
@@ -28,7 +28,7 @@
 from rich.table import Table
 
 from switchhub.lab.live.runner import ROOT, Runner, free_ports
-from switchhub.lab.scenario import Scenario, parse
+from switchhub.lab.scenario import Scenario, parse_scenario
 
 Address = tuple[str, int]
 SERVER_COUNTS = (10, 100, 1000, 5000)  # at which a placement is timed
@@ -49,7 +49,7 @@
 
 def _scenario(standing_connections: int) -> Scenario:
     """Eight servers without delay or cost, and a balancer with three sockets for each connection."""
-    return parse(
+    return parse_scenario(
         {
             "name": "perf",
             "shows": "sound servers that cost nothing, for lab perf",
--- a/switchhub/lab/runs.py
+++ b/switchhub/lab/runs.py
@@ -19,8 +19,8 @@
 from rich.progress import Progress
 
 from switchhub.lab import model
+from switchhub.lab.run_statistics import result_data
 from switchhub.lab.scenario import Scenario
-from switchhub.lab.tally import result
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,15 +44,23 @@
 
         make_decider = maker(job.other_checkout)
     else:
-        make_decider = model.maker(job.policy)
+        make_decider = model.decider_factory(job.policy)
     continue_after_violation = (
         job.policy != "design" if job.continue_after_violation is None else job.continue_after_violation
     )
-    outcome = model.Run(
-        job.scenario, job.seed, make_decider, keep_on=continue_after_violation, passed=on_progress
-    ).play()
+    outcome = model.Simulation(
+        job.scenario, job.seed, make_decider, keep_on=continue_after_violation, on_progress=on_progress
+    ).run()
     policy_name = job.policy if job.other_checkout is None else "against"
-    return result(job.scenario, job.seed, "model", policy_name, outcome.tally, outcome.broken, outcome.met)
+    return result_data(
+        job.scenario,
+        job.seed,
+        "model",
+        policy_name,
+        outcome.statistics,
+        outcome.violations,
+        outcome.target_counts,
+    )
 
 
 def run_job_with_progress(job: Job) -> dict[str, Any]:
--- a/tests/lab/test_hunt.py
+++ b/tests/lab/test_hunt.py
@@ -14,13 +14,13 @@
 from switchhub.lab import hunt
 from switchhub.lab.cli import main
 from switchhub.lab.hunt import Evaluation, draw_scenario, scenario_to_toml, shrink, smaller_scenarios
-from switchhub.lab.scenario import parse
+from switchhub.lab.scenario import parse_scenario
 
 
 @pytest.mark.parametrize("number", range(60))
 def test_a_generated_scenario_is_valid_and_reads_back_from_toml(number: int) -> None:
     data = draw_scenario(Random(number), number)
-    assert parse(tomllib.loads(scenario_to_toml(data))) == parse(data)
+    assert parse_scenario(tomllib.loads(scenario_to_toml(data))) == parse_scenario(data)
 
 
 def test_shrinking_keeps_the_broken_rule_and_removes_the_rest() -> None:
@@ -31,7 +31,7 @@
 
     def fake_run(candidate: dict[str, Any], seed: int) -> Evaluation:
         """Breaks a rule as long as one of the troubles and two servers are left."""
-        parse(candidate)
+        parse_scenario(candidate)
         bad = culprit in {each["name"] for each in candidate["troubles"]} and _server_count(candidate) >= 2
         return Evaluation(10.0 if bad else 0.0, "cut off" if bad else "", candidate, seed)
 
