--- a/switchhub/lab/cli.py
+++ b/switchhub/lab/cli.py
@@ -427,11 +427,11 @@
 
 def _upgrades(options: argparse.Namespace) -> int:
     from switchhub.lab.faults import upgrades
-    from switchhub.lab.faults.stage import PlanError
+    from switchhub.lab.faults.process_harness import PlanError
 
     try:
-        records = upgrades.run(
-            [*options.plans, *map(upgrades.drawn, options.seeds)], options.at_once, options.shrink
+        records = upgrades.run_and_report(
+            [*options.plans, *map(upgrades.random_plan, options.seeds)], options.at_once, options.shrink
         )
     except PlanError as error:
         raise argparse.ArgumentTypeError(str(error)) from None
@@ -441,7 +441,7 @@
 
 def _faults(options: argparse.Namespace) -> int:
     from switchhub.lab.faults import fleet, hunt
-    from switchhub.lab.faults.stage import PlanError
+    from switchhub.lab.faults.process_harness import PlanError
 
     if not 3 <= options.balancers <= 40:
         raise argparse.ArgumentTypeError(f"--balancers {options.balancers}: expected 3 to 40")
@@ -449,19 +449,19 @@
         raise argparse.ArgumentTypeError("hunt: expected --seeds, to generate plans from")
     try:
         if options.what == "replay":
-            plans = [plan for path in options.files for plan in hunt.replayed(path)]
+            plans = [plan for path in options.files for plan in hunt.read_recorded_plans(path)]
         else:
-            plans = [fleet.read(path.read_text(encoding="utf-8"), str(path)) for path in options.files]
-            plans += [hunt.drawn(seed, options.balancers, options.duties) for seed in options.seeds]
+            plans = [fleet.parse_plan(path.read_text(encoding="utf-8"), str(path)) for path in options.files]
+            plans += [hunt.random_plan(seed, options.balancers, options.duties) for seed in options.seeds]
     except (PlanError, OSError, UnicodeDecodeError) as error:
         raise argparse.ArgumentTypeError(str(error)) from None
     if not plans:
         raise argparse.ArgumentTypeError(f"{options.what}: expected at least one FILE")
     if options.what == "shrink":
         for plan in plans:
-            print(hunt.shrunk(plan).toml())
+            print(hunt.shrink_plan(plan).to_toml())
         return 0
-    records = hunt.run(plans, options.at_once, options.shrink)
+    records = hunt.run_and_report(plans, options.at_once, options.shrink)
     write_json(options.json, records)
     return 1 if any(each["faults"] for each in records) else 0
 
