--- a/switchhub/lab/live/clients.py
+++ b/switchhub/lab/live/clients.py
@@ -58,13 +58,15 @@
             fields.append("r=1")
         if self.server:
             fields.append(f"at={self.server}")
-            self.process.record("adopted", self.name, f"b{client.balancer}", client.class_index, self.server)
+            self.process.record(
+                "adopted", self.name, f"b{client.balancer_index}", client.class_index, self.server
+            )
         else:
             self.opened_at = self.process.now()
             self.process.record(
                 "opened",
                 self.name,
-                f"b{client.balancer}",
+                f"b{client.balancer_index}",
                 client.class_index,
                 connection_class.deadline_ms / 1000,
             )
@@ -175,7 +177,7 @@
                 await self._wait_for_pong(index)
         names = [each.name for each in server_specs(self.scenario)]
         for number, client in enumerate(self._initial_clients):
-            client.balancer = client.index % self.scenario.balancers.count
+            client.balancer_index = client.index % self.scenario.balancers.count
             self.start_task(self._connect(client, names[number % len(names)]))
             if number % INITIAL_SETUP_BATCH == 0:
                 await self._wait_for_initial_clients(number - INITIAL_SETUP_BATCH)
@@ -264,8 +266,8 @@
     def _open_connection(self, client: Client) -> None:
         if self.now() >= min(client.leaves_at, self.scenario.seconds):
             return
-        client.balancer = self.dispatcher.next_balancer()
-        if client.balancer < 0:
+        client.balancer_index = self.dispatcher.next_balancer()
+        if client.balancer_index < 0:
             self.record("event", "clients.no_balancer")
             self.schedule(
                 self.now() + self._retry_policy.delay_after_disconnect(client), self._open_connection, client
@@ -284,7 +286,7 @@
         try:
             async with asyncio.timeout(deadline_s):
                 await asyncio.get_running_loop().create_connection(
-                    lambda: connection, self.plan.host, self.plan.balancers[client.balancer]
+                    lambda: connection, self.plan.host, self.plan.balancers[client.balancer_index]
                 )
         except (OSError, TimeoutError):
             connection.closed = True
