--- a/switchhub/lab/pairs.py
+++ b/switchhub/lab/accept_right_model.py
@@ -28,7 +28,7 @@
 Make = Callable[[float, bool], RightState]
 
 
-class Pair:
+class ProcessGroupState:
     """The state: processes by age, a side for each of a pair, and what lies unread."""
 
     def __init__(self, count: int, budget: dict[str, int], make: Make) -> None:
@@ -44,7 +44,7 @@
         self.stalls: dict[tuple[int, int], int] = {}  # how often each took the other for stalled
         self.troubled = [0.0] * count  # when each was last stopped or late
 
-    def copy(self) -> Pair:
+    def copy(self) -> ProcessGroupState:
         """A state of its own."""
         other = copy.copy(self)
         other.budget, other.is_, other.stood = dict(self.budget), list(self.is_), list(self.stood)
@@ -156,7 +156,7 @@
         if self.calm == CALM and running and accept and accept != [max(running)]:
             self.wrong = f"settled on {accept[0]} while {max(running)} runs"
 
-    def fault(self) -> str | None:
+    def violation(self) -> str | None:
         """What is wrong."""
         return self.wrong
 
@@ -195,16 +195,16 @@
         return sides, lies, budget, tuple(self.is_), tuple(self.stood), troubled, self.alone, self.calm
 
 
-class Pairs:
+class AcceptRightModel:
     """What may happen to them: so many stops, wakes, deaths and late turns of a loop, at any moment."""
 
     def __init__(self, count: int, budget: dict[str, int], make: Make = RightState) -> None:
         self._count, self._make, self._budget = count, make, budget
 
-    def first(self) -> Iterator[tuple[str, Pair]]:
+    def initial_states(self) -> Iterator[tuple[str, ProcessGroupState]]:
         """Each newer one takes over from the one before it, in the same moment or after a while."""
         for wait in (0, 8) if self._count > 2 else (0,):
-            state = Pair(self._count, self._budget, self._make)
+            state = ProcessGroupState(self._count, self._budget, self._make)
             state.take(0, 1)
             for _ in range(wait):
                 state.step(set(), tuple(range(self._count)))
@@ -213,7 +213,7 @@
             state.calm = 0
             yield f"taken over, {wait}", state
 
-    def after(self, state: Pair) -> Iterator[tuple[str, Pair]]:
+    def successors(self, state: ProcessGroupState) -> Iterator[tuple[str, ProcessGroupState]]:
         """One trouble at most, then a step in one order or the other, some loops late."""
         for name, next_ in self._troubles(state):
             running = [who for who, what in enumerate(next_.is_) if what == RUNS]
@@ -226,13 +226,13 @@
                     moved.step(late, order)
                     yield f"{name} late={sorted(late)} order={order}", moved
 
-    def _late(self, state: Pair, running: list[int]) -> Iterator[set[int]]:
+    def _late(self, state: ProcessGroupState, running: list[int]) -> Iterator[set[int]]:
         for each in product((False, True), repeat=len(running)):
             late = {who for who, is_late in zip(running, each, strict=True) if is_late}
             if len(late) <= state.budget.get("late", 0):
                 yield late
 
-    def _troubles(self, state: Pair) -> Iterator[tuple[str, Pair]]:
+    def _troubles(self, state: ProcessGroupState) -> Iterator[tuple[str, ProcessGroupState]]:
         yield "-", state
         for word, before, then in (("stop", RUNS, STOPPED), ("wake", STOPPED, RUNS), ("kill", RUNS, DEAD)):
             for who, what in enumerate(state.is_):
--- a/switchhub/lab/electorate.py
+++ b/switchhub/lab/electorate.py
@@ -13,7 +13,7 @@
 from random import Random
 from statistics import median
 
-from switchhub.lab.history import Entry, faults
+from switchhub.lab.lease_history import HistoryEntry, find_violations
 from switchhub.lab.virtual_network import VirtualNetwork
 from switchhub.leases.config import MAX_CLOCK_DRIFT, LeaseConfig
 from switchhub.leases.messages import ProcessIdentity
@@ -22,28 +22,28 @@
 LOOK = 0.005  # seconds between two looks at who holds
 DUTY = "d"
 SETTLES = 6.0  # seconds before anything is done
-LIMIT = 60.0  # seconds after which nobody is waited for any more
+MAX_WAIT_S = 60.0  # seconds after which nobody is waited for any more
 
 
-class Electorate(VirtualNetwork[LeaseService]):
+class LeaseSimulation(VirtualNetwork[LeaseService]):
     """So many voters, two candidates beside them; each clock is fast or slow by `MAX_CLOCK_DRIFT`."""
 
     def __init__(
-        self, voters: int, seed: int, length: float = 3.0, loss: float = 0.0, names: int = 1
+        self, voters: int, seed: int, length: float = 3.0, loss: float = 0.0, lease_count: int = 1
     ) -> None:
         super().__init__(Random(f"electorate/{seed}"), loss)
         self.voters = [f"v{number}" for number in range(voters)]
-        self.names = [DUTY, *(f"x{number}" for number in range(names - 1))]
+        self.lease_names = [DUTY, *(f"x{number}" for number in range(lease_count - 1))]
         addresses = tuple(f"a-{name}" for name in self.voters)
         self.terms = LeaseConfig(addresses, length, length, min(0.15, length / 8))
-        self.history: list[Entry] = []
+        self.history: list[HistoryEntry] = []
         self.holder, self._token = "", 0
         for key in (*self.voters, "c0", "c1"):
             self.clock_rates[key] = self.rng.choice((1 - MAX_CLOCK_DRIFT, 1 + MAX_CLOCK_DRIFT))
             who = ProcessIdentity(key, self.rng.getrandbits(32), f"a-{key}")
             self.nodes[key] = LeaseService(who, self.terms, self.rng.getrandbits(64), self.local_time(key), 0)
             if key.startswith("c"):
-                for name in self.names:
+                for name in self.lease_names:
                     self.nodes[key].acquire(name, self.local_time(key))
             self._process_output(key)
 
@@ -51,34 +51,34 @@
         still = key not in self.down and self._paused_until.get(key, 0.0) <= self.now
         return self.nodes[key].proposer.held_token(DUTY, self.local_time(key)) if still else None
 
-    def look(self) -> None:
+    def record_holder_changes(self) -> None:
         """Who acts now; one that is dead or stands still does not."""
         for key in ("c0", "c1"):
             token = self._holds(key)
             before = self._token if self.holder == key else None
             if before is not None and token != before:
-                self.history.append(Entry(self.now, "lost", DUTY, before, key))
+                self.history.append(HistoryEntry(self.now, "lost", DUTY, before, key))
                 self.holder = ""
             if token is not None and token != before:
-                self.history.append(Entry(self.now, "held", DUTY, token, key))
+                self.history.append(HistoryEntry(self.now, "held", DUTY, token, key))
                 self.holder, self._token = key, token
 
-    def until_held(self, limit: float, by: str = "") -> float:
+    def run_until_held(self, limit: float, by: str = "") -> float:
         """Seconds until somebody holds, or that one."""
         begun = self.now
         while self.now < begun + limit:
-            self.look()
+            self.record_holder_changes()
             if self.holder and by in ("", self.holder):
                 return self.now - begun
             self.run_until(self.now + LOOK)
         return limit
 
 
-def gap(voters: int, seed: int, what: str, length: float, loss: float) -> float:
+def measure_holder_gap(voters: int, seed: int, what: str, length: float, loss: float) -> float:
     """Seconds without a holder after its holder died, stood still or was cut off with a minority."""
-    world = Electorate(voters, seed, length, loss)
+    world = LeaseSimulation(voters, seed, length, loss)
     world.run_until(SETTLES + 2 * length + world.rng.random())
-    world.until_held(LIMIT)
+    world.run_until_held(MAX_WAIT_S)
     holder = world.holder
     other = "c1" if holder == "c0" else "c0"
     if what == "death":
@@ -89,8 +89,8 @@
         minority = {holder, *world.voters[: voters // 2]}
         world.is_cut = lambda a, b: (a in minority) is not (b in minority)
     begun = world.now
-    world.until_held(LIMIT, other)
-    wrong = faults(world.history)
+    world.run_until_held(MAX_WAIT_S, other)
+    wrong = find_violations(world.history)
     assert not wrong, wrong
     last = max(
         (each.at for each in world.history if each.kind == "lost" and each.by == holder), default=begun
@@ -98,15 +98,19 @@
     return world.now - min(max(last, begun), world.now)
 
 
-def messages(voters: int, seed: int, names: int, seconds: float = 30.0) -> tuple[float, float, float]:
+def measure_message_cost(
+    voters: int, seed: int, lease_count: int, seconds: float = 30.0
+) -> tuple[float, float, float]:
     """Messages and bytes a second of a steady holder, and the processor's part of a second it takes."""
-    world = Electorate(voters, seed, names=names)
+    world = LeaseSimulation(voters, seed, lease_count=lease_count)
     world.kill("c1")
     world.run_until(SETTLES + 10)
     held = [
-        name for name in world.names if world.nodes["c0"].proposer.held_token(name, world.local_time("c0"))
+        name
+        for name in world.lease_names
+        if world.nodes["c0"].proposer.held_token(name, world.local_time("c0"))
     ]
-    assert len(held) == names, len(held)
+    assert len(held) == lease_count, len(held)
     sent, size, used = world.datagrams_sent, world.datagram_bytes, time.process_time()
     world.run_until(world.now + seconds)
     part = (time.process_time() - used) / seconds
@@ -125,7 +129,7 @@
             for loss in (0.0, 0.05, 0.2):
                 cells = []
                 for what in ("death", "stall", "cut"):
-                    times = sorted(gap(voters, seed, what, length, loss) for seed in seeds)
+                    times = sorted(measure_holder_gap(voters, seed, what, length, loss) for seed in seeds)
                     cells.append(f"{median(times):.2f}, {times[-1]:.2f}")
                 least = length * 0.75 * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
                 print(
@@ -134,7 +138,7 @@
                 )
     print("\n| names | messages/s | bytes/s | part of a core, holder and 3 voters |\n|" + " --- |" * 4)
     for names in (1, 100, 1000):
-        sent, size, part = messages(3, seeds[0], names)
+        sent, size, part = measure_message_cost(3, seeds[0], names)
         print(f"| {names:,} | {sent:.1f} | {size:,.0f} | {part:.2%} |")
 
 
--- a/switchhub/lab/explorer.py
+++ b/switchhub/lab/explorer.py
@@ -17,7 +17,7 @@
         """Equal for states that can't be told apart by anything that may still come."""
         ...
 
-    def fault(self) -> str | None:
+    def violation(self) -> str | None:
         """What is wrong with it, if anything."""
         ...
 
@@ -28,11 +28,11 @@
 class System(Protocol[AState]):
     """What may happen."""
 
-    def first(self) -> Iterable[tuple[str, AState]]:
+    def initial_states(self) -> Iterable[tuple[str, AState]]:
         """Where it may begin."""
         ...
 
-    def after(self, state: AState) -> Iterable[tuple[str, AState]]:
+    def successors(self, state: AState) -> Iterable[tuple[str, AState]]:
         """What may come next, each by a name."""
         ...
 
@@ -51,7 +51,9 @@
 AFlies = TypeVar("AFlies", bound=Flies)
 
 
-def spoilt(state: AFlies, kinds: Iterable[str], copy: Callable[[], AFlies]) -> Iterator[tuple[str, AFlies]]:
+def successors_with_message_fault(
+    state: AFlies, kinds: Iterable[str], copy: Callable[[], AFlies]
+) -> Iterator[tuple[str, AFlies]]:
     """The states after one step in which one message that is due meets one of these, each in turn."""
     for what in kinds:
         for at, (left, sender, send) in enumerate(state.flights):
@@ -62,17 +64,17 @@
                 yield f"{state.steps}: {what} {kind} {sender} to {send.address}", other
 
 
-class Found(NamedTuple):
+class ExplorationResult(NamedTuple):
     """What a search has found."""
 
     states: int
     depth: int
-    whole: bool  # no state was left out
-    fault: str | None
-    way: tuple[str, ...]  # events from the beginning to the fault
+    complete: bool  # no state was left out
+    violation: str | None
+    trace: tuple[str, ...]  # events from the beginning to the fault
 
 
-def explore(system: System[AState], most: int, deep: int) -> Found:
+def explore(system: System[AState], max_states: int, max_depth: int) -> ExplorationResult:
     """Search until a fault, the end, or a bound: so many states, so many steps."""
     ways: dict[Hashable, tuple[Hashable, str]] = {}
     layer: list[AState] = []
@@ -86,7 +88,9 @@
                 names.append(name)
         return tuple(reversed(names))
 
-    todo: list[tuple[Hashable, str, AState]] = [(None, name, state) for name, state in system.first()]
+    todo: list[tuple[Hashable, str, AState]] = [
+        (None, name, state) for name, state in system.initial_states()
+    ]
     while todo:
         layer = []
         for before, name, state in todo:
@@ -94,12 +98,12 @@
             if key in ways:
                 continue
             ways[key] = before, name
-            fault = state.fault()
+            fault = state.violation()
             if fault is not None:
-                return Found(len(ways), depth, False, fault, way(key))
+                return ExplorationResult(len(ways), depth, False, fault, way(key))
             layer.append(state)
-        if depth == deep or len(ways) > most:
-            return Found(len(ways), depth, not layer, None, ())
-        todo = [(each.key(), name, state) for each in layer for name, state in system.after(each)]
+        if depth == max_depth or len(ways) > max_states:
+            return ExplorationResult(len(ways), depth, not layer, None, ())
+        todo = [(each.key(), name, state) for each in layer for name, state in system.successors(each)]
         depth += 1
-    return Found(len(ways), depth, True, None, ())
+    return ExplorationResult(len(ways), depth, True, None, ())
--- a/switchhub/lab/faults/fleet.py
+++ b/switchhub/lab/faults/fleet.py
@@ -61,7 +61,7 @@
 from random import Random
 from typing import Any
 
-from switchhub.lab import history
+from switchhub.lab import lease_history
 from switchhub.lab.faults.link_proxy import LinkProxy
 from switchhub.lab.faults.process_harness import (
     CLIENT_TIMEOUT_S,
@@ -251,15 +251,22 @@
         When a halted command continues, a receiver refuses its effects by their token until it is ended;
         these are no violation and are counted in `refused`.
         """
-        entries = [history.Entry(at, "effect", lease, token, by) for at, lease, token, by in self.effects]
+        entries = [
+            lease_history.HistoryEntry(at, "effect", lease, token, by)
+            for at, lease, token, by in self.effects
+        ]
         late_effects = {
-            each for lease in {entry.lease for entry in entries} for each in history.spent(entries, lease)
+            each
+            for lease in {entry.lease for entry in entries}
+            for each in lease_history.stale_effects(entries, lease)
         }
         continued = {
             name for _, step in self.done if step.startswith("halt") for name in step.split()[1].split(",")
         }
         self.refused = sum(each.by in continued for each in late_effects)
-        return history.faults(each for each in entries if not (each in late_effects and each.by in continued))
+        return lease_history.find_violations(
+            each for each in entries if not (each in late_effects and each.by in continued)
+        )
 
     def violations(self) -> list[str]:
         """Return a line for each violation.
--- a/switchhub/lab/history.py
+++ b/switchhub/lab/lease_history.py
@@ -24,7 +24,7 @@
 from typing import NamedTuple
 
 
-class Entry(NamedTuple):
+class HistoryEntry(NamedTuple):
     """One event, at a time in seconds."""
 
     at: float
@@ -34,7 +34,7 @@
     by: str
 
 
-def spent(history: Iterable[Entry], lease: str) -> list[Entry]:
+def stale_effects(history: Iterable[HistoryEntry], lease: str) -> list[HistoryEntry]:
     """Effects that a receiver refuses, for it has seen a higher token."""
     out, top = [], 0
     for each in history:
@@ -45,7 +45,7 @@
     return out
 
 
-def faults(history: Iterable[Entry], most: int = 1) -> list[str]:
+def find_violations(history: Iterable[HistoryEntry], most: int = 1) -> list[str]:
     """What is wrong with it. With `most` above 1 names are counted ones, `NAME#SLOT` each slot a lease."""
     entries = sorted(history, key=lambda each: each.at)
     out: list[str] = []
@@ -72,7 +72,7 @@
         elif holders.get(by) != token:
             out.append(f"{lease}: {kind} by {by} under token {token} at {at:.3f}, which it does not hold")
     for lease in sorted({each.lease for each in entries}):
-        if late := spent(entries, lease):
+        if late := stale_effects(entries, lease):
             out.append(f"{lease}: {len(late)} effects under a spent token, the first {tuple(late[0])}")
     return sorted(set(out))
 
--- a/switchhub/lab/holders.py
+++ b/switchhub/lab/lease_model.py
@@ -12,7 +12,7 @@
 import pickle
 from collections.abc import Callable, Hashable, Iterator
 
-from switchhub.lab.explorer import spoilt
+from switchhub.lab.explorer import successors_with_message_fault
 from switchhub.leases.config import MAX_CLOCK_DRIFT, LeaseConfig
 from switchhub.leases.messages import OutgoingMessage, ProcessIdentity
 from switchhub.leases.proposer import Proposer
@@ -20,7 +20,7 @@
 
 STEP = 0.0625  # seconds of true time
 VOTERS = ("v0", "v1", "v2")
-TERMS = LeaseConfig(VOTERS, length=1.0, max_length=1.0, margin=0.0625, transfer_reservation=0.25)
+LEASE_CONFIG = LeaseConfig(VOTERS, length=1.0, max_length=1.0, margin=0.0625, transfer_reservation=0.25)
 LATE = 20  # steps that a message may be late: longer than any lease
 STANDS = 20  # steps that a candidate may stand still
 CUT = 1.9  # lengths of a lease that a cut lasts: a candidate not heard, or split off with one voter
@@ -31,47 +31,47 @@
 LEASE = "duty"
 Flight = tuple[int, str, OutgoingMessage]
 MakeVoter = Callable[..., Voter]
-MakeAsker = Callable[..., Proposer]
+MakeProposer = Callable[..., Proposer]
 
 
-class Duty:
+class LeaseState:
     """One state."""
 
     def __init__(
         self,
         budget: dict[str, int],
         rates: dict[str, float],
-        voter: MakeVoter,
-        asker: MakeAsker,
-        terms: LeaseConfig = TERMS,
-        files: dict[str, LeaseConfig] | None = None,
+        make_voter: MakeVoter,
+        make_proposer: MakeProposer,
+        config: LeaseConfig = LEASE_CONFIG,
+        configs: dict[str, LeaseConfig] | None = None,
     ) -> None:
         """`files` says which file a part has that has not `terms`; a voter that has one begins by it."""
         self.steps = self.calm = 0
-        self.terms, self.cut = terms, int(CUT * terms.length / STEP)
-        self.files = files or {}
+        self.config, self.cut = config, int(CUT * config.length / STEP)
+        self.configs = configs or {}
         self.ends: dict[tuple[str, str], int] = {}  # troubles of a candidate's links, until which step
         self.budget, self.rates = dict(budget), rates
-        self.make = voter
+        self.make_voter = make_voter
         self.lives = 10
         self.wrong: str | None = None
         self.flights: list[Flight] = []
-        names = sorted({*VOTERS, *(self.files.keys() - {"a", "b"})})
+        names = sorted({*VOTERS, *(self.configs.keys() - {"a", "b"})})
         self.voters = {
-            name: voter(
+            name: make_voter(
                 ProcessIdentity(name, 1, name),
                 self.file(name),
                 self.clock(name),
-                None if name in self.files else 0,
+                None if name in self.configs else 0,
             )
             for name in names
         }
         self.askers = {
-            name: asker(ProcessIdentity(name, 1, name), self.file(name), number, self.clock(name))
+            name: make_proposer(ProcessIdentity(name, 1, name), self.file(name), number, self.clock(name))
             for number, name in enumerate(("a", "b"))
         }
         for name, each in self.voters.items():
-            each.is_voting = name not in self.files
+            each.is_voting = name not in self.configs
         for name, each_ in self.askers.items():
             each_.acquire(LEASE, self.clock(name))
         self.askers["b"].wanted[LEASE].next_attempt_at += 2 * STEP
@@ -85,12 +85,12 @@
 
     def file(self, name: str) -> LeaseConfig:
         """What its operator file says."""
-        return self.files.get(name, self.terms)
+        return self.configs.get(name, self.config)
 
     def refile(self, name: str, file: LeaseConfig) -> None:
         """It is started again with another file."""
         self.budget["refile"] -= 1
-        self.files = {**self.files, name: file}
+        self.configs = {**self.configs, name: file}
         self.away[name] = self.steps + 1
 
     def freeze(self) -> bytes:
@@ -101,7 +101,7 @@
         """Equal for equal states."""
         return hash(self.freeze())
 
-    def fault(self) -> str | None:
+    def violation(self) -> str | None:
         """What is wrong."""
         return self.wrong
 
@@ -113,7 +113,7 @@
             if self.steps >= until:  # it has forgotten all
                 del self.away[name]
                 self.lives += 1
-                self.voters[name] = self.make(
+                self.voters[name] = self.make_voter(
                     ProcessIdentity(name, self.lives, name), self.file(name), self.clock(name), None
                 )
         before, self.flights = self.flights, []
@@ -197,7 +197,7 @@
             self.token, self.holder = token, name
 
 
-class Duties:
+class LeaseModel:
     """Every order of events within a budget: messages `lose`, `double`, `late`, an `echo` of all one says
     in a step; a voter `forget`s; a candidate `stand`s still, is not heard (`mute`), is cut off with one voter
     (`split`), hears late (`lag`), `release`s, does so and wants it `again` at once, or hands on (`pass`); a
@@ -208,11 +208,11 @@
         budget: dict[str, int],
         window: tuple[int, int] = (0, 12),
         rates: dict[str, float] | None = None,
-        voter: MakeVoter = Voter,
-        asker: MakeAsker = Proposer,
-        terms: LeaseConfig = TERMS,
-        files: dict[str, LeaseConfig] | None = None,
-        choices: tuple[LeaseConfig, ...] = (),
+        make_voter: MakeVoter = Voter,
+        make_proposer: MakeProposer = Proposer,
+        config: LeaseConfig = LEASE_CONFIG,
+        configs: dict[str, LeaseConfig] | None = None,
+        restart_configs: tuple[LeaseConfig, ...] = (),
     ) -> None:
         """All that goes wrong begins in these steps. Without rates holders are as slow and voters as fast as
         `MAX_CLOCK_DRIFT` allows."""
@@ -222,26 +222,31 @@
             "b": 1 - MAX_CLOCK_DRIFT,
         }
         self._budget, self._window, self._rates = budget, window, worst if rates is None else rates
-        self._voter, self._asker, self._terms = voter, asker, terms
-        self._files, self._choices = files, choices
+        self._make_voter, self._make_proposer, self._config = make_voter, make_proposer, config
+        self._configs, self._restart_configs = configs, restart_configs
 
-    def first(self) -> Iterator[tuple[str, Duty]]:
+    def initial_states(self) -> Iterator[tuple[str, LeaseState]]:
         """Nobody holds, both want it."""
-        yield "", Duty(self._budget, self._rates, self._voter, self._asker, self._terms, self._files)
+        yield (
+            "",
+            LeaseState(
+                self._budget, self._rates, self._make_voter, self._make_proposer, self._config, self._configs
+            ),
+        )
 
-    def after(self, state: Duty) -> Iterator[tuple[str, Duty]]:
+    def successors(self, state: LeaseState) -> Iterator[tuple[str, LeaseState]]:
         """One step, with at most one thing going wrong in it."""
         begins, ends = self._window
         opens = begins <= state.steps < ends
-        follow = AFTER * self._terms.length + max(
+        follow = AFTER * self._config.length + max(
             [0, *(until - state.steps for until in state.ends.values())]
         )
         if state.steps >= ends and state.calm > follow:
             return
         frozen = state.freeze()
 
-        def copy() -> Duty:
-            other: Duty = pickle.loads(frozen)
+        def copy() -> LeaseState:
+            other: LeaseState = pickle.loads(frozen)
             other.calm = 0
             return other
 
@@ -260,7 +265,9 @@
                     other.away[name] = state.steps + away
                     other.step({})
                     yield f"{state.steps}: {name} forgets, back after {away}", other
-                files = self._choices if state.budget.get("refile") and state.steps % REFILE == 0 else ()
+                files = (
+                    self._restart_configs if state.budget.get("refile") and state.steps % REFILE == 0 else ()
+                )
                 for at, file in enumerate(files):
                     if name not in state.away and file != state.file(name):
                         other = copy()
@@ -273,7 +280,7 @@
                 other.step({at: "echoed" for at, flight in enumerate(state.flights) if flight[1] == name})
                 yield f"{state.steps}: an echo of all that {name} says", other
             kinds = [kind for kind in ("lose", "double", "late") if state.budget.get(kind)]
-            yield from spoilt(state, kinds, copy)
+            yield from successors_with_message_fault(state, kinds, copy)
         other = copy()
         other.calm = state.calm
         other.step({})
--- a/switchhub/lab/circle.py
+++ b/switchhub/lab/membership_model.py
@@ -11,7 +11,7 @@
 import pickle
 from collections.abc import Callable, Hashable, Iterator
 
-from switchhub.lab.explorer import spoilt
+from switchhub.lab.explorer import successors_with_message_fault
 from switchhub.membership.messages import State
 from switchhub.membership.swim import Membership, Options, Send
 
@@ -31,7 +31,7 @@
 Flight = tuple[int, str, Send]  # steps until it arrives, sender, what
 
 
-class Circle:
+class MembershipState:
     """One state."""
 
     def __init__(self, count: int, budget: dict[str, int], make: Make) -> None:
@@ -64,7 +64,7 @@
         """Equal for equal states."""
         return hash(self.freeze())  # 64 bits: of a million states two are taken for one with a chance of 1e-7
 
-    def fault(self) -> str | None:
+    def violation(self) -> str | None:
         """What is wrong."""
         return self.wrong
 
@@ -133,26 +133,26 @@
                 self.wrong = f"{name} holds {sorted(alive)} alive, and {sorted(living)} are"
 
 
-class Circles:
+class MembershipModel:
     """Every order of events within a budget: datagrams `lose`, `double`, `defer`, `late`; `crash`, `back`."""
 
     def __init__(self, count: int, budget: dict[str, int], make: Make = Membership, window: int = 8) -> None:
         """All that goes wrong begins in the first `window` steps; who crashed comes back `APART` later."""
         self._count, self._budget, self._make, self._window = count, budget, make, window
 
-    def first(self) -> Iterator[tuple[str, Circle]]:
+    def initial_states(self) -> Iterator[tuple[str, MembershipState]]:
         """All know each other."""
-        yield "", Circle(self._count, self._budget, self._make)
+        yield "", MembershipState(self._count, self._budget, self._make)
 
-    def after(self, state: Circle) -> Iterator[tuple[str, Circle]]:
+    def successors(self, state: MembershipState) -> Iterator[tuple[str, MembershipState]]:
         """One step, with at most one thing going wrong in it."""
         opens = state.steps < self._window
         if state.calm > SETTLED and not opens:
             return
         frozen = state.freeze()
 
-        def copy() -> Circle:
-            other: Circle = pickle.loads(frozen)
+        def copy() -> MembershipState:
+            other: MembershipState = pickle.loads(frozen)
             return other
 
         if opens and state.budget.get("crash") and state.down is None:
@@ -168,7 +168,9 @@
             yield f"{state.down} is back", other
         if opens or state.calm < LONG:
             kinds = ("lose", "double", "defer", "late")
-            yield from spoilt(state, [kind for kind in kinds if state.budget.get(kind)], copy)
+            yield from successors_with_message_fault(
+                state, [kind for kind in kinds if state.budget.get(kind)], copy
+            )
         other = copy()
         other.step({})
         yield "", other
--- a/switchhub/lab/members.py
+++ b/switchhub/lab/membership_simulation.py
@@ -17,7 +17,7 @@
 Make = Callable[..., Membership]
 
 
-class Seen(NamedTuple):
+class RecordedChange(NamedTuple):
     """A change at one member."""
 
     at: float
@@ -25,7 +25,7 @@
     change: Change
 
 
-class World(VirtualNetwork[Membership]):
+class MembershipSimulation(VirtualNetwork[Membership]):
     """So many members; `loss` is the part of datagrams lost, `slow` the part of members that stand still for
     up to `stall` seconds again and again."""
 
@@ -36,20 +36,20 @@
         options: Options | None = None,
         make: Make = Membership,
         loss: float = 0.0,
-        slow: float = 0.0,
+        slow_fraction: float = 0.0,
         stall: float = 1.0,
         joined: bool = True,
     ) -> None:
         super().__init__(Random(f"members/{seed}"), loss, stall)
         self.options = options or Options()
-        self.seen: list[Seen] = []
+        self.recorded_changes: list[RecordedChange] = []
         self._make, self._lives = make, 0
         self.names = [f"n{number}" for number in range(count)]
         for name in self.names:
             self.start(name)
         if joined:
             self._introduce()
-        slow_ones = self.names[: round(slow * count)]
+        slow_ones = self.names[: round(slow_fraction * count)]
         for name in slow_ones:
             self._schedule(self.rng.random() * 3, name, "!slow", None)
 
@@ -85,22 +85,24 @@
 
     def _node_changed(self, key: str) -> None:
         for change in self.nodes[key].changes:
-            self.seen.append(Seen(self.now, key, change))
+            self.recorded_changes.append(RecordedChange(self.now, key, change))
         self.nodes[key].changes.clear()
 
-    def living(self) -> list[Membership]:
+    def running_members(self) -> list[Membership]:
         """Those that run."""
         return [each for key, each in self.nodes.items() if key not in self.down and not each.has_left]
 
-    def agreed(self) -> bool:
+    def views_agree(self) -> bool:
         """Whether each that runs holds exactly those that run to be alive."""
-        names = {each.name for each in self.living()}
-        return all({each.name, *each.names_in(State.ALIVE)} == names for each in self.living())
+        names = {each.name for each in self.running_members()}
+        return all({each.name, *each.names_in(State.ALIVE)} == names for each in self.running_members())
 
 
-def death(count: int, seed: int, make: Make = Membership, **trouble: Any) -> dict[str, float]:
+def measure_death_detection(
+    count: int, seed: int, make: Make = Membership, **trouble: Any
+) -> dict[str, float]:
     """One of so many dies: seconds to the first and to the last that knows."""
-    world = World(count, seed, make=make, **trouble)
+    world = MembershipSimulation(count, seed, make=make, **trouble)
     world.run_until(2.0)
     gone = world.names[-1]
     world.kill(gone)
@@ -108,7 +110,7 @@
     knows: dict[str, float] = {}
     while len(knows) < count - 1 and world.now < at + limit:
         world.run_until(world.now + 0.25)
-        for seen in world.seen:
+        for seen in world.recorded_changes:
             if seen.change.name == gone and seen.change.after is State.DEAD and seen.at >= at:
                 knows.setdefault(seen.by, seen.at - at)
     times = sorted(knows.values())
@@ -116,18 +118,18 @@
     return {"first": times[0] if times else limit, "all": times[-1] if whole else limit}
 
 
-def quiet(
+def measure_steady_state(
     count: int, seed: int, seconds: float = 120.0, make: Make = Membership, **trouble: Any
 ) -> dict[str, float]:
     """Nobody dies: accusations and burials an hour, of all by all, and what each sends a second."""
-    world = World(count, seed, make=make, **trouble)
+    world = MembershipSimulation(count, seed, make=make, **trouble)
     world.run_until(5.0)
-    world.seen.clear()
+    world.recorded_changes.clear()
     world.datagrams_sent = world.datagram_bytes = world.full_state_bytes = 0
     world.run_until(5.0 + seconds)
-    accused = {(seen.change.name, seen.change.incarnation) for seen in world.seen
+    accused = {(seen.change.name, seen.change.incarnation) for seen in world.recorded_changes
                if seen.change.after is State.SUSPECT}  # fmt: skip
-    buried = {(seen.change.name, seen.change.incarnation) for seen in world.seen
+    buried = {(seen.change.name, seen.change.incarnation) for seen in world.recorded_changes
               if seen.change.after is State.DEAD}  # fmt: skip
     hour = 3600 / seconds
     return {
--- a/tests/lab/test_history.py
+++ b/tests/lab/test_lease_history.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from switchhub.lab.history import Entry, faults
+from switchhub.lab.lease_history import HistoryEntry, find_violations
 
 
-def told(text: str) -> list[Entry]:
+def told(text: str) -> list[HistoryEntry]:
     """`a held 3; a effect 3`: one each second."""
     out = []
     for at, line in enumerate(text.split("; ")):
         by, kind, token, *rest = line.split()
-        out.append(Entry(float(at), kind, rest[0] if rest else "d", int(token), by))
+        out.append(HistoryEntry(float(at), kind, rest[0] if rest else "d", int(token), by))
     return out
 
 
@@ -27,7 +27,7 @@
     ],
 )
 def test_a_right_history_has_no_fault(text: str) -> None:
-    assert faults(told(text)) == []
+    assert find_violations(told(text)) == []
 
 
 @pytest.mark.parametrize(
@@ -44,12 +44,12 @@
     ],
 )
 def test_a_wrong_history_is_told(text: str, says: str) -> None:
-    assert any(says in each for each in faults(told(text))), faults(told(text))
+    assert any(says in each for each in find_violations(told(text))), find_violations(told(text))
 
 
 def test_a_counted_name_has_so_many_holders_and_no_more() -> None:
     right = "a held 1 r#0; b held 1 r#1; a lost 1 r#0; c held 2 r#0; c effect 2 r#0"
-    assert faults(told(right), 2) == []
-    assert faults(told(right), 1) == []  # each slot is a lease of its own
-    assert "r: 3 hold at 2.000, 2 may" in faults(told("a held 1 r#0; b held 1 r#1; c held 1 r#2"), 2)
-    assert "r: one holds twice at 1.000" in faults(told("a held 1 r#0; a held 1 r#1"), 2)
+    assert find_violations(told(right), 2) == []
+    assert find_violations(told(right), 1) == []  # each slot is a lease of its own
+    assert "r: 3 hold at 2.000, 2 may" in find_violations(told("a held 1 r#0; b held 1 r#1; c held 1 r#2"), 2)
+    assert "r: one holds twice at 1.000" in find_violations(told("a held 1 r#0; a held 1 r#1"), 2)
--- a/tests/test_accept_right.py
+++ b/tests/test_accept_right.py
@@ -6,8 +6,8 @@
 
 from switchhub.handover import accept_right
 from switchhub.handover.accept_right import Heartbeat, PeerMonitor, RightClaim, RightState
+from switchhub.lab.accept_right_model import AcceptRightModel
 from switchhub.lab.explorer import explore
-from switchhub.lab.pairs import Pairs
 
 
 @pytest.mark.parametrize(
@@ -22,9 +22,9 @@
 def test_never_without_acceptor_for_long_and_the_newest_process_accepts_in_the_end(
     count: int, budget: dict[str, int], most: int, whole: bool
 ) -> None:
-    found = explore(Pairs(count, budget), most, 400)
-    assert found.fault is None, found
-    assert found.whole is whole
+    found = explore(AcceptRightModel(count, budget), most, 400)
+    assert found.violation is None, found
+    assert found.complete is whole
 
 
 class NeverStalledMonitor(PeerMonitor):
@@ -81,8 +81,8 @@
     ],
 )
 def test_each_guard_is_needed(mutant: type[RightState], budget: dict[str, int], says: str) -> None:
-    found = explore(Pairs(2, budget, mutant), 60_000, 400)
-    assert found.fault is not None and says in found.fault, found
+    found = explore(AcceptRightModel(2, budget, mutant), 60_000, 400)
+    assert found.violation is not None and says in found.violation, found
 
 
 def test_regain_delay_doubles_with_each_stall() -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 from msgspec import structs
 
-from switchhub.lab.electorate import LIMIT, Electorate, gap
+from switchhub.lab.electorate import MAX_WAIT_S, LeaseSimulation, measure_holder_gap
 from switchhub.lab.explorer import explore
-from switchhub.lab.holders import TERMS, Duties
+from switchhub.lab.lease_model import LEASE_CONFIG, LeaseModel
 from switchhub.leases import cli, messages
 from switchhub.leases import config as lease_config
 from switchhub.leases.config import TOKEN_JUMP, LeaseConfig, grant_duration
@@ -68,9 +68,9 @@
     ],
 )
 def test_there_are_never_two_holders_and_tokens_rise(budget: dict[str, int], window: tuple[int, int]) -> None:
-    result = explore(Duties(budget, window), MAX_STATES, 400)
-    assert result.fault is None, result
-    assert result.whole and result.states > 300
+    result = explore(LeaseModel(budget, window), MAX_STATES, 400)
+    assert result.violation is None, result
+    assert result.complete and result.states > 300
 
 
 class NoWait(Voter):
@@ -169,8 +169,8 @@
     window: tuple[int, int],
     expected_fault: str,
 ) -> None:
-    result = explore(Duties(budget, window, voter=voter, asker=proposer), MAX_STATES, 400)
-    assert result.fault is not None and expected_fault in result.fault, result
+    result = explore(LeaseModel(budget, window, make_voter=voter, make_proposer=proposer), MAX_STATES, 400)
+    assert result.violation is not None and expected_fault in result.violation, result
 
 
 def test_clock_drift_up_to_the_bound_is_allowed_for() -> None:
@@ -180,25 +180,29 @@
     leases.
     """
     long_lease = LeaseConfig(
-        TERMS.voters, length=6.0, max_length=6.0, margin=0.0625, transfer_reservation=0.25
+        LEASE_CONFIG.voters, length=6.0, max_length=6.0, margin=0.0625, transfer_reservation=0.25
     )
-    result = explore(Duties({"mute": 1}, (4, 24), terms=long_lease), MAX_STATES, 400)
-    assert result.fault is None and result.whole
-    result = explore(Duties({"mute": 1}, (4, 24), voter=IgnoresClockDrift, terms=long_lease), MAX_STATES, 400)
-    assert result.fault is not None and "both hold" in result.fault
+    result = explore(LeaseModel({"mute": 1}, (4, 24), config=long_lease), MAX_STATES, 400)
+    assert result.violation is None and result.complete
+    result = explore(
+        LeaseModel({"mute": 1}, (4, 24), make_voter=IgnoresClockDrift, config=long_lease), MAX_STATES, 400
+    )
+    assert result.violation is not None and "both hold" in result.violation
     long_lease = LeaseConfig(
-        TERMS.voters, length=3.0, max_length=3.0, margin=0.0625, transfer_reservation=0.25
+        LEASE_CONFIG.voters, length=3.0, max_length=3.0, margin=0.0625, transfer_reservation=0.25
     )
-    result = explore(Duties({"mute": 1, "lag": 1}, (16, 20), terms=long_lease), MAX_STATES, 400)
-    assert result.fault is None and result.whole
+    result = explore(LeaseModel({"mute": 1, "lag": 1}, (16, 20), config=long_lease), MAX_STATES, 400)
+    assert result.violation is None and result.complete
     result = explore(
-        Duties({"mute": 1, "lag": 1}, (14, 21), asker=CountsFromReply, terms=long_lease), MAX_STATES, 400
+        LeaseModel({"mute": 1, "lag": 1}, (14, 21), make_proposer=CountsFromReply, config=long_lease),
+        MAX_STATES,
+        400,
     )
-    assert result.fault is not None and "both hold" in result.fault
+    assert result.violation is not None and "both hold" in result.violation
 
 
-OLD_CONFIG = TERMS
-JOINT_CONFIG = replace(TERMS, voters=("v0", "v1", "v3"), previous_voters=OLD_CONFIG.voters)
+OLD_CONFIG = LEASE_CONFIG
+JOINT_CONFIG = replace(LEASE_CONFIG, voters=("v0", "v1", "v3"), previous_voters=OLD_CONFIG.voters)
 NEW_CONFIG = replace(JOINT_CONFIG, previous_voters=())
 
 
@@ -243,10 +247,12 @@
     configs: dict[str, LeaseConfig], budget: dict[str, int]
 ) -> None:
     """Voters are restarted with any of the three configurations, in any order."""
-    system = Duties(budget, (20, 61), files=configs, choices=(OLD_CONFIG, JOINT_CONFIG, NEW_CONFIG))
+    system = LeaseModel(
+        budget, (20, 61), configs=configs, restart_configs=(OLD_CONFIG, JOINT_CONFIG, NEW_CONFIG)
+    )
     result = explore(system, MAX_STATES, 400)
-    assert result.fault is None, result
-    assert result.whole and result.states > 300
+    assert result.violation is None, result
+    assert result.complete and result.states > 300
 
 
 @pytest.mark.parametrize(
@@ -262,18 +268,18 @@
     voter learns of the other electorate from the holder's renewals.
     """
     for voter_class in (voter, Voter):
-        system = Duties(
+        system = LeaseModel(
             budget,
             (20, until),
-            files=CONFIGS_DURING_CHANGE,
-            choices=(OLD_CONFIG, JOINT_CONFIG, NEW_CONFIG),
-            voter=voter_class,
+            configs=CONFIGS_DURING_CHANGE,
+            restart_configs=(OLD_CONFIG, JOINT_CONFIG, NEW_CONFIG),
+            make_voter=voter_class,
         )
         result = explore(system, MAX_STATES, 400)
         if voter_class is Voter:
-            assert result.fault is None and result.whole, result
+            assert result.violation is None and result.complete, result
         else:
-            assert result.fault is not None and "hold" in result.fault, result
+            assert result.violation is not None and "hold" in result.violation, result
 
 
 def _network_with_slots(
@@ -421,7 +427,7 @@
 
 
 def _proposal(name: str, token: int, seq: int = 1, lease: str = "duty") -> ProposeRequest:
-    return ProposeRequest(seq, _process(name), lease, token, 1000, TERMS.electorate)
+    return ProposeRequest(seq, _process(name), lease, token, 1000, LEASE_CONFIG.electorate)
 
 
 def _take_sent(voter: Voter) -> list[Message]:
@@ -431,7 +437,7 @@
 
 
 def _voter(floor: int | None = 0, now: float = 0.0, name: str = "v0") -> Voter:
-    voter = Voter(_process(name), TERMS, now, floor)
+    voter = Voter(_process(name), LEASE_CONFIG, now, floor)
     if floor is not None:
         voter.turn(now + 10.0)
     return voter
@@ -442,15 +448,19 @@
     voter.receive(0.1, _proposal("a", 7))
     (reply,) = _take_sent(voter)
     assert isinstance(reply, ProposeReply) and not reply.granted
-    voter.turn(grant_duration(TERMS.max_length) - 0.01)
+    voter.turn(grant_duration(LEASE_CONFIG.max_length) - 0.01)
     assert not _take_sent(voter)
-    voter.turn(grant_duration(TERMS.max_length))
+    voter.turn(grant_duration(LEASE_CONFIG.max_length))
     (seq,) = {message.seq for message in _take_sent(voter)}
-    voter.receive(1.2, RecoveryReply(seq - 1, _process("v1"), 90, True, TERMS.electorate))  # no such request
-    voter.receive(1.2, RecoveryReply(seq, _process("x"), 90, True, TERMS.electorate))  # not from a voter
-    voter.receive(1.2, RecoveryReply(seq, _process("v1"), 56, True, TERMS.electorate))
+    voter.receive(
+        1.2, RecoveryReply(seq - 1, _process("v1"), 90, True, LEASE_CONFIG.electorate)
+    )  # no such request
+    voter.receive(
+        1.2, RecoveryReply(seq, _process("x"), 90, True, LEASE_CONFIG.electorate)
+    )  # not from a voter
+    voter.receive(1.2, RecoveryReply(seq, _process("v1"), 56, True, LEASE_CONFIG.electorate))
     assert not voter.is_voting
-    voter.receive(1.2, RecoveryReply(seq, _process("v2"), 57, True, TERMS.electorate))
+    voter.receive(1.2, RecoveryReply(seq, _process("v2"), 57, True, LEASE_CONFIG.electorate))
     assert voter.is_voting and voter.token_floor == 57
     voter.receive(1.3, _proposal("a", 57))
     voter.receive(1.3, _proposal("a", 58))
@@ -464,9 +474,9 @@
     voter = _voter(None)
     voter.turn(2.0)
     (seq,) = {message.seq for message in _take_sent(voter)}
-    voter.receive(2.0, RecoveryReply(seq, _process("v1"), 0, False, TERMS.electorate))
+    voter.receive(2.0, RecoveryReply(seq, _process("v1"), 0, False, LEASE_CONFIG.electorate))
     assert not voter.is_voting  # the third voter may know a token that nobody else does
-    voter.receive(2.0, RecoveryReply(seq, _process("v2"), 50, True, TERMS.electorate))
+    voter.receive(2.0, RecoveryReply(seq, _process("v2"), 50, True, LEASE_CONFIG.electorate))
     assert voter.is_voting and voter.token_floor == 50 + TOKEN_JUMP
 
 
@@ -475,20 +485,20 @@
     voter.turn(2.0)
     (seq,) = {message.seq for message in _take_sent(voter)}
     for name in ("v1", "v2"):
-        voter.receive(2.0, RecoveryReply(seq, _process(name), 0, False, TERMS.electorate))
+        voter.receive(2.0, RecoveryReply(seq, _process(name), 0, False, LEASE_CONFIG.electorate))
     assert voter.is_voting and voter.token_floor == 0
 
 
 def test_with_a_token_file_no_token_is_voted_for_before_it_is_stored(tmp_path: Path) -> None:
     """A voter that does not know the tokens of the others yet does not store a limit either."""
-    token_file = TokenFile(tmp_path, "v0", TERMS.electorate)
+    token_file = TokenFile(tmp_path, "v0", LEASE_CONFIG.electorate)
     assert token_file.read() is None
-    voter = Voter(_process("v0"), TERMS, 0.0, persists_tokens=True)
+    voter = Voter(_process("v0"), LEASE_CONFIG, 0.0, persists_tokens=True)
     assert voter.next_token_limit() is None
     voter.turn(2.0)
     (seq,) = {message.seq for message in _take_sent(voter)}
-    voter.receive(2.0, RecoveryReply(seq, _process("v1"), 70, True, TERMS.electorate))
-    voter.receive(2.0, RecoveryReply(seq, _process("v2"), 9, True, TERMS.electorate))
+    voter.receive(2.0, RecoveryReply(seq, _process("v1"), 70, True, LEASE_CONFIG.electorate))
+    voter.receive(2.0, RecoveryReply(seq, _process("v2"), 9, True, LEASE_CONFIG.electorate))
     voter.receive(2.1, _proposal("a", 71))
     assert _take_sent(voter) == [
         ProposeReply(1, voter.identity, "duty", 71, False, 70, "token not written down yet")
@@ -500,7 +510,7 @@
     assert _take_sent(voter) == [ProposeReply(1, voter.identity, "duty", 71, True, 71, "")]
     assert voter.next_token_limit() is None and token_file.read() == (limit, True)
     assert TokenFile(tmp_path, "v0", (1, 0)).read() == (limit, False)
-    restarted = Voter(_process("v0"), TERMS, 3.0, limit, persists_tokens=True)
+    restarted = Voter(_process("v0"), LEASE_CONFIG, 3.0, limit, persists_tokens=True)
     restarted.turn(4.2)
     assert restarted.is_voting and restarted.token_floor == limit
     assert TokenFile(tmp_path / "gone", "v0", (1, 0)).write(9, 5) == 5
@@ -511,9 +521,9 @@
 def test_delayed_messages_change_nothing() -> None:
     voter = _voter()
     voter.receive(0.0, _proposal("a", 1))
-    voter.receive(0.1, RenewRequest(5, _process("a"), 1000, TERMS.electorate))
+    voter.receive(0.1, RenewRequest(5, _process("a"), 1000, LEASE_CONFIG.electorate))
     voter.receive(0.2, ReleaseRequest(6, _process("a"), "duty", 1, ""))
-    voter.receive(0.3, RenewRequest(5, _process("a"), 1000, TERMS.electorate))  # after release
+    voter.receive(0.3, RenewRequest(5, _process("a"), 1000, LEASE_CONFIG.electorate))  # after release
     voter.receive(0.4, _proposal("a", 1))  # a duplicate of the first proposal
     voter.receive(0.5, _proposal("b", 2))
     voter.receive(0.6, ReleaseRequest(6, _process("a"), "duty", 1, ""))
@@ -528,7 +538,7 @@
     voter.receive(0.0, _proposal("a", 1))
     voter.receive(0.1, ReleaseRequest(2, _process("a"), "duty", 1, "b"))
     until = voter.grants["duty"].valid_until
-    voter.receive(0.2, RenewRequest(3, _process("a"), 1000, TERMS.electorate))
+    voter.receive(0.2, RenewRequest(3, _process("a"), 1000, LEASE_CONFIG.electorate))
     assert voter.grants["duty"].valid_until == until
     voter.receive(0.3, _proposal("b", 2))
     for late_message in (
@@ -550,14 +560,14 @@
     voter.receive(0.15, _proposal("c", 2))
     voter.receive(0.2, _proposal("a", 2))
     assert not any(message.granted for message in _take_sent(voter)[2:])  # type: ignore[union-attr]
-    voter.receive(0.1 + TERMS.transfer_reservation, _proposal("c", 2))  # the reservation is over
+    voter.receive(0.1 + LEASE_CONFIG.transfer_reservation, _proposal("c", 2))  # the reservation is over
     assert _take_sent(voter)[-1].granted  # type: ignore[union-attr]
 
 
 def test_another_electorate_and_a_too_long_lease_get_no_vote() -> None:
     voter = _voter()
     voter.receive(0.0, ProposeRequest(1, _process("a"), "duty", 1, 1000, (1, 0)))
-    voter.receive(0.0, ProposeRequest(1, _process("a"), "duty", 1, 1001, TERMS.electorate))
+    voter.receive(0.0, ProposeRequest(1, _process("a"), "duty", 1, 1001, LEASE_CONFIG.electorate))
     assert [message.reason for message in _take_sent(voter)] == [  # type: ignore[union-attr]
         "another electorate",
         "longer than a lease may be",
@@ -682,18 +692,18 @@
         _lease_names,
         _tokens,
         st.integers(1, 600_000),
-        st.just(TERMS.electorate),
+        st.just(LEASE_CONFIG.electorate),
     ),
     st.builds(
         ProposeReply, _seqs, _processes, _lease_names, _tokens, st.booleans(), _tokens, st.just("token spent")
     ),
-    st.builds(RenewRequest, _seqs, _processes, st.integers(1, 600_000), st.just(TERMS.electorate)),
+    st.builds(RenewRequest, _seqs, _processes, st.integers(1, 600_000), st.just(LEASE_CONFIG.electorate)),
     st.builds(messages.RenewReply, _seqs, _processes, st.integers(0, 3), st.integers(0, 2**62 - 1)),
     st.builds(ReleaseRequest, _seqs, _processes, _lease_names, _tokens, st.sampled_from(["", "a"])),
     st.builds(messages.ReleaseReply, _seqs, _processes),
     st.builds(messages.TransferNotice, _seqs, _processes, _lease_names, _tokens),
     st.builds(messages.RecoveryRequest, _seqs, _processes),
-    st.builds(RecoveryReply, _seqs, _processes, _tokens, st.booleans(), st.just(TERMS.electorate)),
+    st.builds(RecoveryReply, _seqs, _processes, _tokens, st.booleans(), st.just(LEASE_CONFIG.electorate)),
 )
 
 
@@ -703,7 +713,7 @@
 
     Its own messages fit into a datagram, and its deadline is never in the past after `turn`.
     """
-    service = LeaseService(_process("v0"), TERMS, 1, 0.0, 0)
+    service = LeaseService(_process("v0"), LEASE_CONFIG, 1, 0.0, 0)
     service.hold_external("duty", 0.0)
     now = 0.0
     for message in received:
@@ -752,7 +762,7 @@
 
 def test_one_voter_with_an_outdated_grant_does_not_delay_an_attempt() -> None:
     """If its reply came first, it ended the attempt before the replies of the two free voters came."""
-    proposer = Proposer(_process("a"), TERMS, 1, 0.0)
+    proposer = Proposer(_process("a"), LEASE_CONFIG, 1, 0.0)
     proposer.acquire("duty", 0.0)
     proposer.turn(0.0)
     (seq,) = {send.message.seq for send in proposer.out}
@@ -789,7 +799,7 @@
 
 def test_the_deadline_is_not_in_the_past_while_a_proposal_is_pending() -> None:
     """With a lost reply the overdue status request kept the deadline in the past: 0.3 s of busy looping."""
-    proposer = Proposer(_process("a"), TERMS, 1, 0.0)
+    proposer = Proposer(_process("a"), LEASE_CONFIG, 1, 0.0)
     proposer.acquire("duty", 0.0)
     proposer.turn(0.0)
     (seq,) = {send.message.seq for send in proposer.out}
@@ -808,28 +818,28 @@
 
     Without resending, the gap was 9.6 s in the mean and 25 s at most; with resending, 1.5 s and 4.6 s.
     """
-    assert sum(gap(5, seed, "cut", 1.0, 0.2) for seed in range(1, 17)) / 16 < 3.0
+    assert sum(measure_holder_gap(5, seed, "cut", 1.0, 0.2) for seed in range(1, 17)) / 16 < 3.0
 
 
 def test_a_holder_keeps_its_lease_while_a_fifth_of_all_messages_is_lost() -> None:
     """100 s, leases of 1 s, five voters; without resent renewals the lease was lost four times."""
-    simulation = Electorate(5, 1, 1.0, 0.2)
-    simulation.until_held(LIMIT)
+    simulation = LeaseSimulation(5, 1, 1.0, 0.2)
+    simulation.run_until_held(MAX_WAIT_S)
     simulation.kill("c1" if simulation.holder == "c0" else "c0")
     simulation.history.clear()
     while simulation.now < 100.0:
         simulation.run_until(simulation.now + 0.01)
-        simulation.look()
+        simulation.record_holder_changes()
     assert not [entry for entry in simulation.history if entry.kind == "lost"]
 
 
 def test_a_thousand_leases_of_a_dead_holder_are_acquired_by_the_next_holder() -> None:
-    simulation = Electorate(3, 1, 1.0, names=1000)
-    simulation.until_held(LIMIT)
+    simulation = LeaseSimulation(3, 1, 1.0, lease_count=1000)
+    simulation.run_until_held(MAX_WAIT_S)
     simulation.run_until(simulation.now + 4.0)
     other = "c1" if simulation.holder == "c0" else "c0"
     simulation.kill(simulation.holder)
     killed_at = simulation.now
     simulation.run_until(killed_at + 3.0)
     proposer, now = simulation.nodes[other].proposer, simulation.local_time(other)
-    assert sum(proposer.held_token(name, now) is not None for name in simulation.names) == 1000
+    assert sum(proposer.held_token(name, now) is not None for name in simulation.lease_names) == 1000
--- a/tests/test_circle.py
+++ b/tests/test_membership_model.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from switchhub.lab.circle import Circles
 from switchhub.lab.explorer import explore
+from switchhub.lab.membership_model import MembershipModel
 from switchhub.membership.messages import MemberUpdate, State
 from switchhub.membership.swim import Member, Membership, Options, Probe
 
@@ -28,9 +28,9 @@
 def test_a_living_one_is_never_buried_and_views_converge(
     count: int, budget: dict[str, int], window: int
 ) -> None:
-    found = explore(Circles(count, budget, window=window), 60_000, 400)
-    assert found.fault is None, found
-    assert found.whole and found.states > 300
+    found = explore(MembershipModel(count, budget, window=window), 60_000, 400)
+    assert found.violation is None, found
+    assert found.complete and found.states > 300
 
 
 class NeverRefutes(Membership):
@@ -77,8 +77,8 @@
     ],
 )
 def test_each_guard_is_needed(mutant: type[Membership], budget: dict[str, int], says: str) -> None:
-    found = explore(Circles(3, budget, mutant), 60_000, 400)
-    assert found.fault is not None and says in found.fault, found
+    found = explore(MembershipModel(3, budget, mutant), 60_000, 400)
+    assert found.violation is not None and says in found.violation, found
 
 
 def _believed(order: tuple[MemberUpdate, ...]) -> tuple[int, State]:
