--- a/switchhub/lab/__init__.py
+++ b/switchhub/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: a fleet emulator with a load and experiment tool, in virtual time and on real sockets."""
+"""The lab: simulates a fleet under load, in virtual time or on real sockets, and checks its invariants."""
--- a/switchhub/lab/balancer_settings.py
+++ b/switchhub/lab/balancer_settings.py
@@ -1,7 +1,7 @@
-"""What a balancer is told of a scenario: its settings by the configuration's names.
+"""Translates a scenario into a balancer's configuration.
 
-Owns: the one translation, used for real processes (as JSON) and in virtual time (read back as they read it).
-Must never: tell a balancer what only the lab knows, such as speeds, loads or troubles.
+Real processes get it as JSON; in virtual time it is parsed as they parse it. It holds nothing that only the
+lab knows, such as speeds, loads or troubles.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 def balancer_zone(scenario: Scenario, balancer: int) -> int:
-    """Balancers are spread over the zones in turn."""
+    """The index of a balancer's zone; balancers are spread over the zones in turn."""
     return balancer % len(scenario.zones)
 
 
 def configuration(scenario: Scenario, balancer: int) -> dict[str, Any]:
-    """The settings of one balancer, as its configuration nests them."""
+    """The configuration of one balancer, with its settings nested as in the JSON file."""
     quotas = [each.connections for each in scenario.tenants]
     return {
         "Allowed": {
@@ -69,5 +69,5 @@
 
 
 def decision_settings(scenario: Scenario, balancer: int) -> Settings:
-    """The same, as the decision module takes them."""
+    """The settings of one balancer as the decision module takes them."""
     return read_settings(flatten(configuration(scenario, balancer)))
--- a/switchhub/lab/baselines.py
+++ b/switchhub/lab/baselines.py
@@ -1,10 +1,10 @@
-"""Other policies behind the facade's interface, to compare with: random to an oracle, all of them lawful.
+"""Placement policies to compare the project's own with, from random choice to an oracle.
 
-Owns: one shell that keeps the rules on attempts, repeats and drains for all of them, and a choice for each.
-Must never: be used by a balancer that serves. None of them paces what goes to a cold server but the oracle;
-a run says when that breaks rule 4.
+`BaselinePolicy` keeps the rules on attempts, repeats and drains for all of them; each subclass chooses among
+the servers that these rules allow. Only the oracle limits set-ups at cold servers; where the others overload
+one, the run reports a violation of rule 4. They are for the lab only and must not serve real traffic.
 
-`design` is the project's own `Facade`; `against` (see `earlier.py`) is another version of it.
+The policy `design` is the project's own `Facade`; `against` (see `earlier.py`) is another version of it.
 """
 
 from __future__ import annotations
@@ -41,38 +41,38 @@
 from switchhub.lab.fake_server import FakeServer
 
 NOT_RUN_RESULTS = frozenset({Result.FULL, Result.UNREACHABLE, Result.NOT_SENT})
-WATCH_RETRY_FRACTION = 1 / 8  # of the time allowed, after which a lost list is asked for again
-UTILISATION_MAX, COLD_SETUP_MARGIN = (
-    0.97,
-    2.0,
-)  # utilisation beyond which the oracle refuses; its care with hints at cold servers
-RELIEF_INTERVAL_MS = 250.0  # milliseconds between two looks of the oracle at what stands badly
+WATCH_RETRY_FRACTION = 1 / 8  # of `watch_retry_within`, after which a lost watch is requested again
+UTILISATION_MAX = 0.97  # the oracle places no load beyond it
+COLD_SETUP_MARGIN = 2.0  # the oracle counts a load at a cold server this many times, as hints are inexact
+RELIEF_INTERVAL_MS = 250.0  # between the oracle's checks for connections to move
 
 
 class Decider(Protocol):
-    """What both engines speak to."""
+    """What balancers use to decide placements; all times are in milliseconds."""
 
     def pick(self, now: float, request: Request) -> Pick:
-        """Where a request goes, or its final answer."""
+        """The server for a request's next attempt, or the request's final answer."""
 
     def report(self, now: float, observation: Observation) -> None:
-        """Tell what was seen."""
+        """Take in what the network observed."""
 
     def tick(self, now: float) -> PendingActions:
-        """What is to be done."""
+        """The actions that have become due."""
 
 
 class SimulationState(Protocol):
-    """What only the lab knows; the oracle sees it."""
+    """The true state of a simulation, which only the oracle may see."""
 
     servers: dict[str, FakeServer]
     reserved_loads: dict[str, float]
 
     def can_reach(self, balancer_index: int, server: str) -> bool:
-        """Whether the network carries anything between them now."""
+        """Whether no zone cut separates the balancer from the server now."""
 
 
 class _TrackedRequest:
+    """A request and its connection; times are in milliseconds."""
+
     __slots__ = ("attempts", "deadline", "first_possible_run", "is_up", "load", "request", "server", "tried")
 
     def __init__(self, request: Request, load: float, deadline: float) -> None:
@@ -81,11 +81,13 @@
         self.tried: set[str] = set()
         self.server = ""
         self.is_up = False
-        self.first_possible_run: tuple[Server, float] | None = None  # the first attempt that may have run
+        self.first_possible_run: tuple[Server, float] | None = (
+            None  # server and start of the first attempt that may have run
+        )
 
 
 class BaselinePolicy:
-    """Keeps the rules on attempts, repeats and drains; `choose` picks among the lawful."""
+    """Keeps the rules on attempts, repeats and drains; chooses at random among the servers they allow."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.settings, self.rng, self.now = settings, Random(seed), now
@@ -98,11 +100,11 @@
         self._watch_due_at: float | None = now
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
-        """One of the lawful servers, which are never none; empty: refuse, where that is harmless."""
+        """One of the allowed servers, of which there is at least one; empty to refuse, if that is safe."""
         return self.rng.choice(names)
 
     def pick(self, now: float, request: Request) -> Pick:
-        """Where a request goes, or its final answer."""
+        """The server for a request's next attempt, or the request's final answer."""
         self.now = now
         tracked = self._tracked.get(request.id)
         if tracked is None:
@@ -124,7 +126,7 @@
         return Send(chosen, (tracked.deadline - now) / attempts_left)
 
     def report(self, now: float, observation: Observation) -> None:
-        """Tell what was seen."""
+        """Take in what the network observed."""
         self.now = now
         if isinstance(observation, ServerList):
             self._on_server_list(observation)
@@ -147,7 +149,7 @@
             self._tracked[observation.request].deadline = 0.0
 
     def tick(self, now: float) -> PendingActions:
-        """What is to be done."""
+        """The actions that have become due."""
         watch = self._watch_due_at is not None and self._watch_due_at <= now
         if watch:
             self._watch_due_at = None
@@ -165,18 +167,18 @@
 
     def _on_server_list(self, observation: ServerList) -> None:
         if observation.kind is ServerListKind.WHOLE:
-            listed = {each.id for each in observation.servers}
-            for name in self.servers.keys() - listed:
+            listed_ids = {each.id for each in observation.servers}
+            for name in self.servers.keys() - listed_ids:
                 self.servers[name] = self.servers[name]._replace(state=ServerState.GONE)
         for each in observation.servers:
             self.servers[each.id] = each
             self.load_sums.setdefault(each.id, 0.0)
             self.connection_counts.setdefault(each.id, 0)
         self.ready_servers = [name for name, each in self.servers.items() if each.state is ServerState.READY]
-        draining = {each.id for each in observation.servers if each.state is ServerState.DRAINING}
-        if draining:
+        draining_ids = {each.id for each in observation.servers if each.state is ServerState.DRAINING}
+        if draining_ids:
             self._pending_moves += [
-                name for name, each in self._tracked.items() if each.is_up and each.server in draining
+                name for name, each in self._tracked.items() if each.is_up and each.server in draining_ids
             ]
 
     def _server_state(self, server: str) -> ServerState:
@@ -212,48 +214,51 @@
 
 
 class RoundRobin(BaselinePolicy):
-    """The next one in turn, from a place by lot."""
+    """The next server in turn, from a random position."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
         self._position = self.rng.randrange(1 << 20)
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
-        """One of the lawful servers."""
+        """One of the allowed servers."""
         self._position += 1
         return names[self._position % len(names)]
 
 
 class LeastConnections(BaselinePolicy):
-    """The fewest connections of its own; ties by lot."""
+    """The server with the fewest connections of this balancer; ties are broken at random."""
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
-        """One of the lawful servers."""
+        """One of the allowed servers."""
         least = min(self.connection_counts[each] for each in names)
         return self.rng.choice([each for each in names if self.connection_counts[each] == least])
 
 
 class TwoChoices(BaselinePolicy):
-    """The less loaded of two by lot, by the sums (Mitzenmacher, 2001)."""
+    """The less loaded of two random servers, by the sums of hints (Mitzenmacher, 2001)."""
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
-        """One of the lawful servers."""
+        """One of the allowed servers."""
         first, second = self.rng.choice(names), self.rng.choice(names)
         return min(first, second, key=self.load_sums.__getitem__)
 
 
 class LeastSum(BaselinePolicy):
-    """The design without any exception: the least sum."""
+    """The server with the least sum of hints: the design without its exceptions."""
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
-        """One of the lawful servers."""
+        """One of the allowed servers."""
         least = min(self.load_sums[each] for each in names)
         return self.rng.choice([each for each in names if self.load_sums[each] == least])
 
 
 class Oracle(BaselinePolicy):
-    """Sees true loads, what hangs, what is cut off and what a cold server bears; refuses when all is full,
-    and moves what stands where it is served badly. All oracles of a run share what they are about to send."""
+    """Decides with the simulation's true state: loads, hung servers, zone cuts and cold budgets.
+
+    It refuses when all servers are full, and moves connections away from overloaded servers and from those
+    that do not answer. The oracles of all balancers share the load they have placed but not yet established.
+    """
 
     def __init__(
         self, settings: Settings, seed: int, now: float, simulation: SimulationState, balancer_index: int
@@ -264,7 +269,7 @@
         self._reserved: dict[str, tuple[str, float]] = {}
 
     def choose(self, request: Request, load: float, names: list[str]) -> str:
-        """The one that is the least used after it, of those that answer."""
+        """The answering server with the lowest utilisation after the placement; empty if all are full."""
         best, lowest = "", UTILISATION_MAX
         for name in names:
             server = self._simulation.servers[name]
@@ -284,7 +289,7 @@
         return best
 
     def report(self, now: float, observation: Observation) -> None:
-        """Tell what was seen."""
+        """Take in what the network observed."""
         if isinstance(observation, (Up, Ended)):
             name, load = self._reserved.pop(observation.request, ("", 0.0))
             if name:
@@ -292,7 +297,7 @@
         super().report(now, observation)
 
     def tick(self, now: float) -> PendingActions:
-        """What is to be done: also what is to be moved."""
+        """The actions that have become due, with moves away from servers that serve badly."""
         if now - self._relieved_at >= RELIEF_INTERVAL_MS:
             self._relieved_at = now
             self._move_from_overloaded()
@@ -323,10 +328,11 @@
 
 
 def create_design(settings: Settings, seed: int, now: float) -> Decider:
-    """The project's own."""
+    """The project's own policy, which needs no more than the facade."""
     return Facade(settings, seed, now)
 
 
+# Policy name: creates the decider from the settings, a seed and the time in milliseconds.
 BASELINES: dict[str, Callable[[Settings, int, float], Decider]] = {
     "design": create_design,
     "plain": LeastSum,
--- a/switchhub/lab/fake_server.py
+++ b/switchhub/lab/fake_server.py
@@ -1,12 +1,10 @@
-"""A server as the lab plays it, without I/O or clock: what it can do, what piles up, when it falls over.
+"""A fake server without I/O or clock: its capacity, its backlog, and when it crashes from overload.
 
-Owns: the state of one stand-in server and of what stands on it. Must never: know of balancers, read a
-clock, or answer by itself; both engines ask it and carry out what it says. Seconds and microseconds of work
-throughout.
+It knows nothing of balancers and sends nothing by itself: both engines call it and carry out its replies.
+Times are in seconds, work in microseconds of a standard core.
 
-The work that comes in and what the server does are treated as fluids: what exceeds its rate piles up, and a
-message takes the service time, stretched by utilisation as in an M/M/1 queue, plus what is piled up before
-it.
+Work is modelled as a fluid: what arrives faster than the server works adds to the backlog. A message takes
+the service time, stretched by utilisation as in an M/M/1 queue, plus the time of the backlog before it.
 """
 
 from __future__ import annotations
@@ -19,14 +17,12 @@
 from switchhub.lab.scenario import CORE_WORK_PER_S, Scenario, ServerGroup
 from switchhub.lab.timeline import Interval
 
-STRETCH_UTILISATION_MAX = (
-    0.95  # utilisation at which the stretch of a message stops growing; backlog takes over from there
-)
-BACKLOG_MAX_S = 20.0  # seconds of work that may pile up; beyond it the server drops what comes
+STRETCH_UTILISATION_MAX = 0.95  # beyond it only the backlog makes messages take longer
+BACKLOG_MAX_S = 20.0  # seconds of work; the server drops what exceeds it
 
 
 class SetupReply(Enum):
-    """What a server does with a first line."""
+    """What a server does with a first line; `SILENT` and `DOWN` are not sent."""
 
     UP = "UP"
     BUSY = "BUSY"
@@ -37,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """Where a server stands and what it is."""
+    """A server's name, group, zone and cell; zone and cell are indexes."""
 
     name: str
     group: ServerGroup
@@ -46,7 +42,7 @@
 
 
 def server_specs(scenario: Scenario) -> list[ServerSpec]:
-    """Every server of a scenario, in order; those without a zone of their own are spread in turn."""
+    """All servers of a scenario, in order; servers of groups without a zone are spread over the zones."""
     specs: list[ServerSpec] = []
     for group in scenario.servers:
         for index in range(group.count):
@@ -58,25 +54,24 @@
 
 
 class FakeServer:
-    """One server."""
+    """One server and its connections."""
 
     def __init__(self, scenario: Scenario, spec: ServerSpec, seed: int) -> None:
         self.spec, self.name, self.group = spec, spec.name, spec.group
         self._cold = scenario.cold
         self._rng = Random(f"{seed}/server/{spec.name}")
         self._active_intervals: list[Interval] = []
-        self.connections: dict[str, float] = {}
+        self.connection_loads: dict[str, float] = {}
         self.load = 0.0
         self.backlog = 0.0
         self.updated_at = 0.0
-        self.started_at: float | None = None  # when it last started; none: long ago
+        self.started_at: float | None = None  # none: before the run
         self.crashed = False
-        self.recent_setups: deque[tuple[float, str, float]] = (
-            deque()
-        )  # while cold: when, which connection, its load
+        # while cold: (time, connection, load)
+        self.recent_setups: deque[tuple[float, str, float]] = deque()
         self._update_effects()
 
-    # What troubles do to it.
+    # Effects of troubles
 
     def _update_effects(self) -> None:
         effects = {each.effect for each in self._active_intervals}
@@ -94,7 +89,7 @@
                 self._error_fraction = max(self._error_fraction, each.value)
 
     def apply_change(self, now: float, begins: bool, interval: Interval) -> bool:
-        """A trouble of its own begins or ends; whether it died or came back with that."""
+        """Begin or end one effect on this server; returns whether the server died or restarted with it."""
         self.advance(now)
         was_dead = self.dead
         if begins:
@@ -110,28 +105,28 @@
         return was_dead != self.dead
 
     def drop_all_connections(self) -> None:
-        """Nothing stands on it any more."""
-        self.connections.clear()
+        """Drop all connections and the backlog."""
+        self.connection_loads.clear()
         self.load = self.backlog = 0.0
 
-    # What it can do.
+    # Capacity
 
     def speed_fraction(self, now: float) -> float:
-        """The part of its speed that a server has that has just started."""
+        """The fraction of its full speed that the server has reached since its start."""
         if self.started_at is None:
             return 1.0
         progress = max(0.0, now - self.started_at) / self._cold.seconds
         return 1.0 if progress >= 1 else self._cold.share + (1 - self._cold.share) * progress
 
     def work_rate(self, now: float) -> float:
-        """Microseconds of work a second that it does now."""
+        """Microseconds of work per second that the server does now."""
         full_rate = (
             self.group.cores * self.group.speed * CORE_WORK_PER_S * self.speed_fraction(now) / self._slowdown
         )
         return max(full_rate - self._stolen_work_rate, full_rate * 0.02)
 
     def advance(self, now: float) -> None:
-        """Let work pile up or off until now."""
+        """Update the backlog to `now`."""
         if now > self.updated_at:
             work_rate = self.work_rate(now)
             self.backlog = min(
@@ -141,7 +136,7 @@
             self.updated_at = now
 
     def message_delay(self, now: float) -> float:
-        """Seconds that a message takes."""
+        """Seconds that a message takes now."""
         self.advance(now)
         work_rate = self.work_rate(now)
         idle_delay = self.group.message_ms / 1000 * self.group.cores * CORE_WORK_PER_S / work_rate
@@ -150,20 +145,22 @@
         )
 
     def utilisation(self, now: float) -> float:
-        """Standing work over what it does now, and what is piled up as if it were to be done in a second."""
+        """The connections' load, plus the backlog as if due within a second, over the current work rate."""
         work_rate = self.work_rate(now)
         return (self.load + self.backlog) / work_rate
 
-    # What it is asked.
+    # Connections
 
     def receive_first_line(self, now: float, connection_id: str, load: float) -> tuple[SetupReply, float]:
-        """A first line has come: the verdict and the seconds until it is said. `UP` counts as standing at
-        once."""
+        """Handle a first line; returns the reply and the seconds until it is sent.
+
+        With `UP` the connection counts as established at once.
+        """
         if self.dead:
             return SetupReply.DOWN, 0.0
         if self.hanging:
             return SetupReply.SILENT, 0.0
-        if self.draining or self.full or len(self.connections) >= self.group.connections:
+        if self.draining or self.full or len(self.connection_loads) >= self.group.connections:
             return SetupReply.BUSY, 0.0
         if self._error_fraction and self._rng.random() < self._error_fraction:
             return SetupReply.ERR, 0.0
@@ -173,19 +170,19 @@
         return SetupReply.UP, delay_s + self.group.setup_work_ms * 1000 / self.work_rate(now)
 
     def add_connection(self, connection_id: str, load: float) -> None:
-        """A connection stands here."""
-        self.connections[connection_id] = load
+        """Add an established connection."""
+        self.connection_loads[connection_id] = load
         self.load += load
 
     def remove_connection(self, now: float, connection_id: str) -> None:
-        """A connection has ended, or is given up."""
-        load = self.connections.pop(connection_id, None)
+        """Remove a connection that has ended or was abandoned; unknown ones are ignored."""
+        load = self.connection_loads.pop(connection_id, None)
         if load is not None:
             self.advance(now)
-            self.load = max(0.0, self.load - load) if self.connections else 0.0
+            self.load = max(0.0, self.load - load) if self.connection_loads else 0.0
 
     def cold_setup_budget(self, now: float) -> float:
-        """Work a second of set-ups that it bears in one window while it is cold."""
+        """Load of set-ups, in microseconds of work per second, that one window may have while cold."""
         capacity = self.group.cores * self.group.speed * CORE_WORK_PER_S
         return (
             self._cold.fall_multiple
@@ -196,8 +193,7 @@
         )
 
     def fits_setup_budget(self, now: float, load: float) -> bool:
-        """Whether a further set-up, with the others of the window, is what a server that may be cold
-        bears."""
+        """Whether a further set-up fits the budget of the current window; always true once warm."""
         if self.started_at is None or now - self.started_at >= self._cold.seconds:
             return True
         while self.recent_setups and self.recent_setups[0][0] <= now - self._cold.fall_s:
@@ -207,8 +203,10 @@
         )
 
     def crashes_from_setup(self, now: float, connection_id: str, load: float) -> bool:
-        """A set-up is taken; whether it is one too many, and the server falls. `pushed` still tells of
-        all."""
+        """Record a set-up; returns whether it exceeds the cold budget, which crashes the server.
+
+        `recent_setups` still holds all set-ups of the window after a crash.
+        """
         if self.started_at is None or now - self.started_at >= self._cold.seconds:
             return False
         fits = self.fits_setup_budget(now, load)
--- a/switchhub/lab/model.py
+++ b/switchhub/lab/model.py
@@ -1,11 +1,13 @@
-"""`lab model`: a whole fleet in virtual time on the real `Facade`, without sockets, sleep or a wall clock.
+"""The model engine: simulates a whole fleet in virtual time, with the real `Facade` deciding placements.
 
-Owns: the heap of events and the state of one run. Must never: tell a balancer what a real one would not
-learn, or let a balancer's view decide what the judge and the tally hear. Seconds inside, milliseconds
-towards the facade.
+There are no sockets, no sleeping and no wall clock; events are taken from a heap in the order of their times.
+A simulated balancer receives only what a real one would. The checker and the statistics are fed with what
+clients, servers and discovery see, never with a balancer's own view. Times are in seconds, except towards the
+facade, which takes milliseconds.
 
-`Shell` stands where `net.session` and `net.listener` stand in the real program: it picks, attempts, relays,
-notices silence, moves, stops. The tests' mutants are subclasses of it.
+`SimulatedBalancer` does what `net.session` and `net.listener` do in the real program: it requests placements,
+makes attempts, relays lines, detects silent servers, moves clients and stops. The mutants of the tests are
+subclasses of it.
 """
 
 from __future__ import annotations
@@ -42,29 +44,26 @@
 )
 from switchhub.net.session import ANSWER_MARGIN_MS, SILENCE_TIMEOUT_MS, SILENT_SERVER_TIMEOUT_MS
 
-EPOCH_MS = 1_000_000.0  # milliseconds on the facade's clock when a run starts
-TICK_INTERVAL_S, SILENCE_CHECK_INTERVAL_S, MESSAGE_SLOT_S = (
-    0.02,
-    0.1,
-    0.05,
-)  # seconds between looks at chores, at silence, and of messages sent together
-IMMEDIATE_ANSWER_MAX_S = 0.05  # seconds within which an answer is played at once instead of at its time
-WATCHED_DELAY_MIN_S = 0.2  # seconds from which a line that waits is looked at for silence
-KILL_MARGIN_S = 0.7  # seconds past the longest deadline at which a stopping balancer is killed
-STOP_DISPATCH_DELAY_S = 0.3  # seconds in which new connections still reach a balancer that stops
-REFUSED_CALL_S, CALL_TIMEOUT_S, WATCH_TIMEOUT_S = (
-    0.005,
-    1.5,
-    11.5,
-)  # seconds until a call to discovery counts as failed
+EPOCH_MS = 1_000_000.0  # the facade's clock when a run starts
+TICK_INTERVAL_S = 0.02  # between two calls of the decider's `tick`
+SILENCE_CHECK_INTERVAL_S = 0.1
+MESSAGE_SLOT_S = 0.05  # messages that are due within one slot are sent together
+IMMEDIATE_ANSWER_MAX_S = 0.05  # an answer that is due within this time is delivered at once
+WATCHED_DELAY_MIN_S = 0.2  # a line whose answer takes at least this long is checked for silence
+KILL_MARGIN_S = 0.7  # a stopping balancer is killed this long after its time limit
+STOP_DISPATCH_DELAY_S = 0.3  # new connections still reach a stopping balancer for this long
+REFUSED_CALL_S = 0.005  # until a call to a discovery service that is down fails
+CALL_TIMEOUT_S = 1.5  # until a call that a silent discovery service does not answer fails
+WATCH_TIMEOUT_S = 11.5  # until a watch on a discovery service that has become silent fails
 SERVER_STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 SEED_RANGE = 1 << 62
 
+# Takes the settings, a seed, the time in milliseconds, the simulation and the balancer's index.
 DeciderFactory = Callable[[Settings, int, float, "Simulation", int], Decider]
 
 
 class SimulatedConnection:
-    """One connection of a client through a balancer."""
+    """A client's connection through a balancer, from its request until both sides have closed it."""
 
     __slots__ = (
         "answer_due_at",
@@ -83,16 +82,15 @@
     def __init__(self, connection_id: str, client: Client, request: Request) -> None:
         self.id, self.client, self.request = connection_id, client, request
         self.server = ""
-        self.attempt = 0  # counts up; events of an older one are passed over
-        self.attempt_started_at = self.established_at = self.answer_due_at = (
-            0.0  # `last`: when the answer before is due; they keep order
-        )
+        self.attempt = 0  # number of the current attempt; events of earlier attempts are ignored
+        # `answer_due_at` is when the latest answer is due; a later one never overtakes it.
+        self.attempt_started_at = self.established_at = self.answer_due_at = 0.0
         self.is_up = self.closed = False
-        self.unanswered_lines: deque[tuple[int, float]] = deque()  # lines without an answer
+        self.unanswered_lines: deque[tuple[int, float]] = deque()  # (number, time sent)
 
 
 class SimulatedBalancer:
-    """One balancer as its process would be."""
+    """One balancer process, without its sockets."""
 
     def __init__(self, simulation: Simulation, index: int, seed: int) -> None:
         self.simulation, self.index, self.name = simulation, index, f"b{index}"
@@ -109,10 +107,10 @@
         self._dial_timeout_s = simulation.scenario.balancers.dial_ms / 1000
         self._silence_checked_at = 0.0
 
-    # A request.
+    # Requests
 
     def accept_request(self, client: Client, connection_id: str, wait_s: float) -> None:
-        """A first line has come."""
+        """Handle a client's first line; the client waits `wait_s` for the answer."""
         budget = wait_s * 1000 - ANSWER_MARGIN_MS
         request = Request(
             connection_id,
@@ -128,19 +126,19 @@
         self.place_connection(connection)
 
     def place_connection(self, connection: SimulatedConnection) -> None:
-        """Ask where it goes, and send it there or answer it."""
+        """Ask the decider for a server and start an attempt there, or send the final answer."""
         simulation = self.simulation
         pick = self.decider.pick(simulation.now_ms, connection.request)
         if not isinstance(pick, Send):
             line = "FAILED"
             if isinstance(pick, Refused):
                 line = f"BUSY {pick.retry_after:.0f}" if pick.retry_after else "BUSY"
-            self.remove_connection(connection)
+            self.drop_connection(connection)
             return self.send_answer(connection, line)
         self.start_attempt(connection, pick.server, pick.timeout / 1000)
 
     def start_attempt(self, connection: SimulatedConnection, server: str, timeout_s: float) -> None:
-        """Connect, then write the line."""
+        """Connect to the server, then write the first line; the attempt times out after `timeout_s`."""
         simulation = self.simulation
         connection.attempt += 1
         connection.attempt_started_at, connection.server = simulation.now, server
@@ -164,7 +162,7 @@
             )
 
     def write_first_line(self, connection: SimulatedConnection, attempt: int, timeout_s: float) -> None:
-        """It is connected: write the first line, if the server is still to be sent to."""
+        """Write the first line after connecting, unless the server is no longer listed as ready."""
         simulation = self.simulation
         if connection.attempt != attempt or connection.closed:
             return
@@ -182,17 +180,17 @@
         )
 
     def ignores_server_list(self) -> bool:
-        """Whether it looks away from what discovery says; only a mutant does."""
+        """Whether to send to servers that are not listed as ready; for mutants to override."""
         return False
 
     def attempt_expired(self, connection: SimulatedConnection, attempt: int) -> None:
-        """The wait for a verdict is over."""
+        """Fail the attempt if the server has not replied within its timeout."""
         if connection.attempt == attempt and not connection.is_up and not connection.closed:
             self.simulation.close_at_server(connection.server, connection, False)
             self.attempt_failed(connection, attempt, Result.TIMEOUT)
 
     def attempt_failed(self, connection: SimulatedConnection, attempt: int, result: Result) -> None:
-        """An attempt has ended without a connection."""
+        """Report an attempt that ended without a connection, and place the request again."""
         if connection.attempt != attempt or connection.closed or connection.is_up or not self.alive:
             return
         connection.attempt += 1
@@ -204,7 +202,7 @@
         self.place_connection(connection)
 
     def establish(self, connection: SimulatedConnection, attempt: int, receipt: str) -> None:
-        """`UP` has come from the server."""
+        """Handle the server's `UP`: the connection is established."""
         if connection.attempt != attempt or connection.closed or not self.alive:
             return
         simulation = self.simulation
@@ -216,46 +214,46 @@
         self.send_answer(connection, f"UP {receipt}")
 
     def send_answer(self, connection: SimulatedConnection, line: str) -> None:
-        """Write the final answer to the client."""
+        """Send the final answer to the client."""
         simulation = self.simulation
         simulation.schedule(
             simulation.now + simulation.zone_delay, simulation.deliver_answer, self, connection, line
         )
 
-    def remove_connection(self, connection: SimulatedConnection) -> None:
-        """Nothing of it is left here."""
+    def drop_connection(self, connection: SimulatedConnection) -> None:
+        """Close a connection and drop all state of it."""
         connection.closed = True
         self.connections.pop(connection.id, None)
         self.awaiting_answers.pop(connection.id, None)
 
-    # What stands.
+    # Established connections
 
     def lines_to_server(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
-        """The client's lines that go on for this one."""
+        """The line numbers to pass on to the server for one line of the client."""
         return (number,)
 
     def lines_to_client(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
-        """The answers that go back for this one."""
+        """The line numbers to pass back to the client for one answer of the server."""
         return (number,)
 
     def record_delay(self, connection: SimulatedConnection, delay_s: float) -> None:
-        """A line has been answered after so many seconds."""
+        """Report that the server has answered a line after `delay_s` seconds."""
         now = self.simulation.now_ms
         self.health.record_answer(connection.server, now)
         self.decider.report(now, Delay(connection.id, delay_s * 1000))
 
     def close(self, connection: SimulatedConnection, result: Result) -> None:
-        """A standing connection, or a set-up that nobody waits for, has ended."""
+        """Close an established connection, or a set-up that no client waits for any longer."""
         if connection.closed:
             return
         since = connection.established_at if connection.is_up else connection.attempt_started_at
-        self.remove_connection(connection)
+        self.drop_connection(connection)
         self.decider.report(
             self.simulation.now_ms, Ended(connection.id, (self.simulation.now - since) * 1000, result, True)
         )
 
     def move_client(self, connection_id: str, result: Result = Result.CANCELLED) -> None:
-        """Tell a client to come again; both sides end."""
+        """Send a client `MOVE`, so that it reconnects, and close both sides."""
         connection = self.connections.get(connection_id)
         if connection is None or not connection.is_up:
             return
@@ -263,10 +261,10 @@
         self.simulation.close_at_server(connection.server, connection, False)
         self.simulation.deliver_move(connection)
 
-    # The process.
+    # The process
 
     def tick(self) -> None:
-        """The module's chores, and a look at silent connections."""
+        """Carry out the decider's pending actions, and check for silent servers when that is due."""
         simulation = self.simulation
         actions = self.decider.tick(simulation.now_ms)
         for connection_id in actions.moves:
@@ -279,7 +277,7 @@
             self.check_silence()
 
     def check_silence(self) -> None:
-        """Move the clients of silent servers, by the real program's rule."""
+        """Move clients whose lines have waited too long, by the same rule as the real program."""
         now = self.simulation.now_ms
         waits_by_server: dict[str, list[float]] = {}
         for connection in list(self.awaiting_answers.values()):
@@ -303,7 +301,7 @@
                 self.move_client(connection.id, Result.TIMEOUT)
 
     def apply_server_list(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
-        """Discovery's answer has come."""
+        """Apply a server list or its changes, and pass it on to the decider."""
         if kind is ServerListKind.WHOLE:
             self.ready_servers.clear()
         for each in servers:
@@ -314,7 +312,7 @@
         self.decider.report(self.simulation.now_ms, ServerList(kind, servers))
 
     def stop(self) -> None:
-        """SIGTERM: serve on, then move everybody evenly."""
+        """Do what SIGTERM causes: keep serving, then move all clients evenly over time, then exit."""
         simulation = self.simulation
         self.stopping = True
         longest_deadline = max(each.deadline_ms for each in simulation.scenario.classes) / 1000
@@ -330,16 +328,16 @@
         simulation.schedule(simulation.now + time_limit + KILL_MARGIN_S, simulation.kill_balancer, self)
 
     def move_share(self, steps_left: int) -> None:
-        """Move an even part of what stands."""
+        """Move an even share of the established connections; all of them if no steps are left."""
         if not self.alive:
             return
-        standing = [connection_id for connection_id, each in self.connections.items() if each.is_up]
-        for connection_id in standing[: len(standing) // (steps_left + 1)]:
+        established_ids = [connection_id for connection_id, each in self.connections.items() if each.is_up]
+        for connection_id in established_ids[: len(established_ids) // (steps_left + 1)]:
             self.move_client(connection_id)
 
 
 class Outcome(NamedTuple):
-    """What a run came to."""
+    """The outcome of a run; `target_counts` says how many targets each trouble had."""
 
     statistics: RunStatistics
     violations: list[Violation]
@@ -347,7 +345,7 @@
 
 
 class Simulation:
-    """One scenario, one seed, one policy."""
+    """One run of a scenario with a seed and a policy."""
 
     def __init__(
         self,
@@ -364,8 +362,8 @@
             make_decider,
             balancer_type,
         )
-        self._on_progress = on_progress  # told of the virtual time, for whoever watches
-        self._keep_on = keep_on  # after a broken rule
+        self._on_progress = on_progress  # called with the virtual time, in seconds
+        self._keep_on = keep_on  # whether to continue after a violation
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []
         self._event_count = self._connection_count = 0
@@ -395,10 +393,10 @@
             each.name: Server(each.name, each.zone, 0, each.cell, ServerState.READY, 1.0, 0.0)
             for each in self.server_specs
         }
-        self._unreported: list[Server] = []  # what a stale roster has not told yet
-        self._discovery_troubles: dict[str, int] = {}  # troubles of discovery that are active, by effect
+        self._unreported: list[Server] = []  # not published yet because of `roster-stale`
+        self._discovery_troubles: dict[str, int] = {}  # effect: number of active troubles
         self._next_call_at = 0.0
-        self.reserved_loads = dict.fromkeys(self.servers, 0.0)  # for oracles, which share what they know
+        self.reserved_loads = dict.fromkeys(self.servers, 0.0)  # shared by the oracles of all balancers
         self.balancers = [
             balancer_type(self, index, self._seeds.randrange(SEED_RANGE))
             for index in range(scenario.balancers.count)
@@ -406,20 +404,20 @@
 
     @property
     def now_ms(self) -> float:
-        """The facade's clock."""
+        """The time on the facade's clock, in milliseconds."""
         return EPOCH_MS + self.now * 1000
 
     def schedule(self, at: float, call: Callable[..., Any], *arguments: Any) -> None:
-        """Have it done then; what is due at one moment is done in the order it was asked for."""
+        """Call a function at a time; calls for the same time run in the order of scheduling."""
         self._event_count += 1
         heapq.heappush(self._heap, (at, self._event_count, call, arguments))
 
     def one_way_delay(self, zone: int, server: str) -> float:
-        """Seconds one way between a zone and a server."""
+        """The network delay from a zone to a server, in seconds."""
         return self.zone_delay if self._server_zones[server] == zone else self._far_delay
 
     def can_reach(self, balancer_index: int, server: str) -> bool:
-        """Whether the network carries anything between them now."""
+        """Whether no zone cut separates the balancer from the server now."""
         if not self._zone_cuts:
             return True
         balancer_zone, server_zone = balancer_index % len(self.scenario.zones), self._server_zones[server]
@@ -429,7 +427,7 @@
         return not any(each.target in (zones[balancer_zone], zones[server_zone]) for each in self._zone_cuts)
 
     def run(self) -> Outcome:
-        """All of it."""
+        """Run to the end of the scenario, or to the first violation unless `keep_on` is set."""
         end = self.scenario.seconds
         self._schedule_start()
         heap = self._heap
@@ -453,11 +451,11 @@
         for change in self.timeline.changes:
             self.schedule(change.at, self._apply_change, change)
         for each in discovery_updates(self.scenario, self.timeline):
-            known = self._known_servers[each.server]._replace(
+            known_server = self._known_servers[each.server]._replace(
                 state=SERVER_STATES[each.state],
                 started_at=EPOCH_MS + each.started_at * 1000 if each.started_at else 0.0,
             )
-            self.schedule(each.at, self._discovery_learns, known)
+            self.schedule(each.at, self._discovery_learns, known_server)
         self._schedule_next_arrival(
             arriving_clients(self.scenario, self.timeline, self.seed, len(open_clients))
         )
@@ -465,7 +463,7 @@
         self.schedule(MESSAGE_SLOT_S, self._send_due_messages, 1)
         self.schedule(SERIES_STEP_S, self._sample)
 
-    # Clients.
+    # Clients
 
     def _adopt_client(self, client: Client, server: str) -> None:
         balancer = self.balancers[client.index % len(self.balancers)]
@@ -552,9 +550,9 @@
             self._retry_later(client, self.retry_policy.delay_after_answer(client, True))
 
     def deliver_answer(self, balancer: SimulatedBalancer, connection: SimulatedConnection, line: str) -> None:
-        """A final answer has come to a client."""
+        """Handle a final answer that reaches a client."""
         client = connection.client
-        if client.connection_id != connection.id:  # it has given up, but still hears
+        if client.connection_id != connection.id:  # the client has given up, but still receives the line
             return self.checker.answered(self.now, connection.id, line)
         opened_at = self._opened_at(client)
         self.checker.answered(self.now, connection.id, line)
@@ -591,7 +589,7 @@
             self._retry_later(client, self.retry_policy.delay_after_disconnect(client))
 
     def deliver_move(self, connection: SimulatedConnection) -> None:
-        """A client is told `MOVE`."""
+        """Handle a `MOVE` that reaches a client."""
         client = connection.client
         if client.connection_id == connection.id:
             self.checker.moved(self.now, connection.id)
@@ -609,7 +607,7 @@
             balancer.close(connection, Result.CANCELLED)
             self.close_at_server(connection.server, connection, False)
 
-    # Messages.
+    # Messages
 
     def _send_due_messages(self, slot: int) -> None:
         self.schedule((slot + 1) * MESSAGE_SLOT_S, self._send_due_messages, slot + 1)
@@ -632,7 +630,7 @@
                         self._send_line(balancer, connection, number)
 
     def _send_line(self, balancer: SimulatedBalancer, connection: SimulatedConnection, number: int) -> None:
-        """A line is on its way to the server."""
+        """Send a client's line to the server and schedule its answer."""
         server = self.servers[connection.server]
         connection.unanswered_lines.append((number, self.now))
         if server.hanging or (self._zone_cuts and not self.can_reach(balancer.index, connection.server)):
@@ -661,7 +659,7 @@
         server = self.servers[connection.server]
         if server.hanging or (self._zone_cuts and not self.can_reach(balancer.index, connection.server)):
             return
-        sent = connection.unanswered_lines.popleft()[1] if connection.unanswered_lines else self.now
+        sent_at = connection.unanswered_lines.popleft()[1] if connection.unanswered_lines else self.now
         balancer.record_delay(connection, delay_s)
         client = connection.client
         for each in balancer.lines_to_client(connection, number):
@@ -669,10 +667,10 @@
         self.statistics.message_times.add(delay_s)
         if delay_s <= self._message_goals_s[client.class_index]:
             client.good_messages += 1
-            self.statistics.good_messages[client.class_index][self.statistics.step_index(sent)] += 1
+            self.statistics.good_messages[client.class_index][self.statistics.step_index(sent_at)] += 1
 
     def _resume_answers(self, server_name: str) -> None:
-        """A server that hung, or was cut off, goes on: what waits there is answered, late."""
+        """Answer, late, the lines that wait at a server that hung or was cut off until now."""
         for balancer, connection in list(self._connections_at[server_name].values()):
             if (
                 not connection.is_up
@@ -683,32 +681,32 @@
                 continue
             unanswered = list(connection.unanswered_lines)
             connection.unanswered_lines.clear()
-            for number, sent in unanswered:
+            for number, sent_at in unanswered:
                 self.checker.server_received_line(self.now, connection.id, number)
-                delay_s = self.now - sent + self.servers[server_name].message_delay(self.now)
-                connection.unanswered_lines.append((number, sent))
+                delay_s = self.now - sent_at + self.servers[server_name].message_delay(self.now)
+                connection.unanswered_lines.append((number, sent_at))
                 self._deliver_line_answer(balancer, connection, number, delay_s)
 
-    # Servers.
+    # Servers
 
     def deliver_first_line(
         self, balancer: SimulatedBalancer, connection: SimulatedConnection, attempt: int
     ) -> None:
-        """A first line has come to a server."""
+        """Handle a first line that reaches a server."""
         if connection.attempt != attempt or connection.closed or not balancer.alive:
             return
         server_name, now = connection.server, self.now
         server, one_way = self.servers[server_name], self.one_way_delay(balancer.zone, server_name)
         if not self.can_reach(balancer.index, server_name):
             return
-        verdict, delay_s = server.receive_first_line(now, connection.id, connection.client.load)
-        if verdict is SetupReply.DOWN:
+        reply, delay_s = server.receive_first_line(now, connection.id, connection.client.load)
+        if reply is SetupReply.DOWN:
             self.schedule(now + one_way, balancer.attempt_failed, connection, attempt, Result.RESET)
             return
         self.checker.took(now, server_name, connection.id)
-        if verdict is SetupReply.SILENT:
+        if reply is SetupReply.SILENT:
             self._connections_at[server_name][connection.id] = (balancer, connection)
-        elif verdict is SetupReply.UP:
+        elif reply is SetupReply.UP:
             self._connections_at[server_name][connection.id] = (balancer, connection)
             if server.crashes_from_setup(now, connection.id, connection.client.load):
                 self.statistics.count_event(now, "servers.fallen")
@@ -719,9 +717,9 @@
                 return
             self.schedule(now + delay_s, self._deliver_up, balancer, connection, attempt)
         else:
-            self.checker.said(now, server_name, connection.id, verdict.value)
+            self.checker.said(now, server_name, connection.id, reply.value)
             self.checker.dropped(now, server_name, connection.id, True)
-            result = Result.FULL if verdict is SetupReply.BUSY else Result.ERROR
+            result = Result.FULL if reply is SetupReply.BUSY else Result.ERROR
             self.schedule(now + one_way, balancer.attempt_failed, connection, attempt, result)
 
     def _deliver_up(self, balancer: SimulatedBalancer, connection: SimulatedConnection, attempt: int) -> None:
@@ -740,16 +738,16 @@
             )
 
     def close_at_server(self, server_name: str, connection: SimulatedConnection, by_server: bool) -> None:
-        """The connection between balancer and server has ended."""
+        """Close the connection between balancer and server on the server's side."""
         if self._connections_at[server_name].pop(connection.id, None) is not None:
             self.servers[server_name].remove_connection(self.now, connection.id)
             self.checker.dropped(self.now, server_name, connection.id, by_server)
 
     def _reset_connections(self, server_name: str) -> None:
-        """A server has died: each connection there is reset."""
-        on = list(self._connections_at[server_name].values())
+        """Reset each connection to a server that has died."""
+        reset = list(self._connections_at[server_name].values())
         self._connections_at[server_name].clear()
-        for balancer, connection in on:
+        for balancer, connection in reset:
             self.checker.dropped(self.now, server_name, connection.id, True)
             one_way = self.one_way_delay(balancer.zone, server_name)
             if connection.is_up:
@@ -764,36 +762,36 @@
             balancer.close(connection, Result.RESET)
             self._connection_broke(connection.client, connection.id)
 
-    # Troubles.
+    # Troubles
 
     def _apply_change(self, change: IntervalChange) -> None:
-        each, begins = change.interval, change.begins
-        if each.target in self.servers:
-            server = self.servers[each.target]
-            hung = server.hanging
-            changed = server.apply_change(self.now, begins, each)
-            if changed and server.dead:
-                self._reset_connections(each.target)
-            elif changed:
-                self.checker.server_started(self.now, each.target)
-            elif hung and not server.hanging and not server.dead:
-                self._resume_answers(each.target)
-        elif each.effect == "zone-cut":
+        interval, begins = change.interval, change.begins
+        if interval.target in self.servers:
+            server = self.servers[interval.target]
+            was_hanging = server.hanging
+            died_or_restarted = server.apply_change(self.now, begins, interval)
+            if died_or_restarted and server.dead:
+                self._reset_connections(interval.target)
+            elif died_or_restarted:
+                self.checker.server_started(self.now, interval.target)
+            elif was_hanging and not server.hanging and not server.dead:
+                self._resume_answers(interval.target)
+        elif interval.effect == "zone-cut":
             if begins:
-                self._zone_cuts.append(each)
+                self._zone_cuts.append(interval)
             else:
-                self._zone_cuts.remove(each)
+                self._zone_cuts.remove(interval)
                 for name in self.servers:
                     self._resume_answers(name)
-        elif each.effect.startswith("roster-"):
-            self._discovery_troubles[each.effect] = self._discovery_troubles.get(each.effect, 0) + (
+        elif interval.effect.startswith("roster-"):
+            self._discovery_troubles[interval.effect] = self._discovery_troubles.get(interval.effect, 0) + (
                 1 if begins else -1
             )
-            self._apply_discovery_change(each.effect, begins)
-        elif each.effect == "drop" and begins:
-            self._drop_clients(each.value)
-        elif each.effect.startswith("balancer-"):
-            self._apply_balancer_change(self.balancers[int(each.target[1:])], each, begins)
+            self._apply_discovery_change(interval.effect, begins)
+        elif interval.effect == "drop" and begins:
+            self._drop_clients(interval.value)
+        elif interval.effect.startswith("balancer-"):
+            self._apply_balancer_change(self.balancers[int(interval.target[1:])], interval, begins)
 
     def _drop_clients(self, fraction: float) -> None:
         rng = Random(f"{self.seed}/drop/{self.now}")
@@ -807,21 +805,21 @@
                     self.statistics.count_event(self.now, "clients.dropped")
                     self._retry_later(client, self.retry_policy.delay_after_disconnect(client))
 
-    def _apply_balancer_change(self, balancer: SimulatedBalancer, each: Interval, begins: bool) -> None:
-        if each.effect == "balancer-reload":
+    def _apply_balancer_change(self, balancer: SimulatedBalancer, interval: Interval, begins: bool) -> None:
+        if interval.effect == "balancer-reload":
             if balancer.alive:
                 self.request_watch(balancer)
         elif not begins:
             self._start_balancer(balancer.index)
         elif not balancer.alive or balancer.stopping:
             return
-        elif each.effect == "balancer-restart":
+        elif interval.effect == "balancer-restart":
             balancer.stop()
         else:
             self.kill_balancer(balancer)
 
     def kill_balancer(self, balancer: SimulatedBalancer) -> None:
-        """A balancer's process ends: each of its connections is reset."""
+        """End a balancer's process: each of its connections is reset."""
         if not balancer.alive:
             return
         balancer.alive = False
@@ -837,7 +835,7 @@
             self.close_at_server(connection.server, connection, False) if connection.server else None
             self._connection_broke(connection.client, connection.id)
         balancer.connections.clear()
-        if balancer.stopping:  # it is started again once its time down is over
+        if balancer.stopping:  # start it again after its down time
             restarts = [
                 each
                 for each in self.timeline.with_effects("balancer-restart")
@@ -861,19 +859,21 @@
         balancer.apply_server_list(ServerListKind.REMEMBERED, remembered)
         self.dispatcher.restore(index)
 
-    # Discovery.
+    # Discovery
 
-    def _discovery_learns(self, known: Server) -> None:
-        self._known_servers[known.id] = known
+    def _discovery_learns(self, known_server: Server) -> None:
+        self._known_servers[known_server.id] = known_server
         if self._discovery_troubles.get("roster-stale"):
-            self._unreported.append(known)
+            self._unreported.append(known_server)
             return
-        self._record_known_state(known)
-        self._notify_watchers((known,))
+        self._record_known_state(known_server)
+        self._notify_watchers((known_server,))
 
-    def _record_known_state(self, known: Server) -> None:
+    def _record_known_state(self, known_server: Server) -> None:
         self.checker.knows(
-            self.now, known.id, "Ready" if known.state is ServerState.READY else known.state.value
+            self.now,
+            known_server.id,
+            "Ready" if known_server.state is ServerState.READY else known_server.state.value,
         )
 
     def _notify_watchers(self, servers: tuple[Server, ...]) -> None:
@@ -898,7 +898,7 @@
 
     def _listing(self) -> tuple[Server, ...]:
         unreported_ids = {each.id for each in self._unreported}
-        if unreported_ids:  # stale: what it knew before
+        if unreported_ids:  # publish the state from before
             return tuple(
                 each._replace(state=ServerState.READY, started_at=0.0) if each.id in unreported_ids else each
                 for each in self._known_servers.values()
@@ -917,7 +917,7 @@
         balancer.apply_server_list(kind, servers)
 
     def request_watch(self, balancer: SimulatedBalancer) -> None:
-        """A balancer calls discovery; calls are worked through in turn."""
+        """Handle a balancer's call to discovery, which answers calls one after the other."""
         self.checker.asks(self.now, balancer.name, True)
         self._next_call_at = max(self._next_call_at, self.now) + 1 / self.scenario.discovery.calls_per_s
         balancer.watching = False
@@ -954,7 +954,7 @@
             if unreported:
                 self._notify_watchers(tuple(unreported))
 
-    # Time.
+    # Periodic events
 
     def _tick(self) -> None:
         for balancer in self.balancers:
@@ -972,17 +972,20 @@
 
 
 def decider_factory(policy: str) -> DeciderFactory:
-    """How a policy's deciders are made; `KeyError` where there is none of that name."""
+    """The function that creates deciders of a policy. Raises KeyError for an unknown policy."""
     if policy == "oracle":
         return lambda settings, seed, now, simulation, index: Oracle(settings, seed, now, simulation, index)
-    make = BASELINES[policy]
-    return lambda settings, seed, now, _run, _index: make(settings, seed, now)
+    create = BASELINES[policy]
+    return lambda settings, seed, now, _simulation, _index: create(settings, seed, now)
 
 
 def run_simulation(
     scenario: Scenario, seed: int, policy: str = "design", keep_on: bool | None = None
 ) -> Outcome:
-    """One run in virtual time. A broken rule ends it, unless it is a baseline that breaks it."""
+    """Run a scenario in virtual time.
+
+    A violation ends the run for the policy `design`, but not for others; `keep_on` overrides this.
+    """
     return Simulation(
         scenario, seed, decider_factory(policy), keep_on=policy != "design" if keep_on is None else keep_on
     ).run()
--- a/switchhub/lab/placement.py
+++ b/switchhub/lab/placement.py
@@ -1,8 +1,7 @@
-"""Run as a file, `placement.py CHECKOUT SERVERS ROUNDS`: what one placement costs with a checkout's
-decisions.
+"""Measures the cost of a placement with a checkout's decision module: `placement.py CHECKOUT SERVERS ROUNDS`.
 
-Owns: nothing. Must never: import anything of the project but the checkout's own decisions; it is started by
-path, so that two checkouts never share modules.
+It is started by path and imports nothing of the project but the checkout's decision module and the file
+`former_names.py` beside it, so that two checkouts never share modules.
 """
 
 from __future__ import annotations
@@ -14,11 +13,14 @@
 from typing import Any
 
 REPETITIONS = 5
-STANDING_CONNECTIONS_MAX = 2000  # connections that stand meanwhile, or four for each server if that is less
+STANDING_CONNECTIONS_MAX = 2000  # or four for each server, if that is less
 
 
 def measure(former_names: Any, servers: int, rounds: int) -> float:
-    """Microseconds of pick, up and end together; the median of five turns."""
+    """Microseconds for the pick, the establishment and the end of a connection; median of the repetitions.
+
+    `former_names` is the module of that name, which maps names for older checkouts.
+    """
     interface: Any = import_module("switchhub.decision.interface")
     facade: Any = import_module("switchhub.decision.facade")
     key_scope, server_state = (
@@ -78,6 +80,8 @@
 
 
 if __name__ == "__main__":
-    former_names: Any = import_module("former_names")  # from this file's directory, until the path changes
+    former_names: Any = import_module(
+        "former_names"
+    )  # imported from this file's directory, before the path changes
     sys.path[0] = sys.argv[1]
     print(measure(former_names, int(sys.argv[2]), int(sys.argv[3])))
--- a/switchhub/lab/population.py
+++ b/switchhub/lab/population.py
@@ -1,7 +1,7 @@
-"""The clients of a scenario: who comes when, wants what, and what each does when it does not get it.
+"""The clients of a scenario: when they arrive, what they request, and when they retry.
 
-Owns: arrivals drawn from the seed, the same for both engines and every balancer, and each client's own
-patience. Must never: look at a balancer or a server; the front knows only who has answered lately.
+Arrivals are drawn from the seed, so they are the same for both engines and every policy. Clients know nothing
+of the state of balancers or servers; the dispatcher knows only which balancers accept connections.
 """
 
 from __future__ import annotations
@@ -15,7 +15,11 @@
 
 
 class Client:
-    """One client's session: it wants a connection from `at` to `until`, and a message each so often."""
+    """One client: wants a connection from `arrives_at` to `leaves_at`, and sends messages periodically.
+
+    `class_index` and `tenant` are indexes into the scenario's lists; `load` and `hint` are microseconds of
+    work per second.
+    """
 
     __slots__ = (
         "arrives_at",
@@ -51,17 +55,17 @@
         self.load = 0.0
         self.hint: float | None = None
         self.message_phase = 0.0
-        self.next_message_at = 0.0  # when its next message is due
-        self.failed_tries = 0  # failed ones since it last stood
-        self.connection_id = ""  # the id of its present connection
+        self.next_message_at = 0.0
+        self.failed_tries = 0  # since the last established connection
+        self.connection_id = ""  # of the current connection; empty if there is none
         self.balancer_index = -1
         self.is_up = self.returning = self.retried = False
-        self.lines_sent = 0  # lines on the present connection
+        self.lines_sent = 0  # on the current connection
         self.wanted_messages = self.good_messages = 0
 
     @property
     def flow_key(self) -> str:
-        """The flow's key: one client, one key."""
+        """The key by which balancers recognise the client."""
         return f"{self.index:016x}"
 
 
@@ -82,28 +86,33 @@
 
 
 def arrival_rates(scenario: Scenario) -> list[float]:
-    """Arrivals a second of each class."""
+    """Arrivals per second of each class."""
     total_share = sum(each.share for each in scenario.classes)
     offered_work = scenario.clients.load * scenario.capacity
     return [offered_work * each.share / total_share / each.load / each.life_s for each in scenario.classes]
 
 
 def initial_clients(scenario: Scenario, seed: int) -> list[Client]:
-    """Those whose connections are open when the run starts; lives have no memory."""
+    """The clients whose connections are open when the run starts.
+
+    Connection lifetimes are exponential, so the remaining ones have the same distribution.
+    """
     rng = Random(f"{seed}/standing")
-    clients: list[Client] = []
+    open_clients: list[Client] = []
     for class_index, rate in enumerate(arrival_rates(scenario)):
         mean_life_s = scenario.classes[class_index].life_s
         for _ in range(round(rate * mean_life_s * scenario.clients.standing)):
-            client = Client(len(clients), 0.0, rng.expovariate(1 / mean_life_s), class_index)
+            client = Client(len(open_clients), 0.0, rng.expovariate(1 / mean_life_s), class_index)
             _draw_properties(scenario, rng, client)
-            clients.append(client)
-    return clients
+            open_clients.append(client)
+    return open_clients
 
 
 def arriving_clients(scenario: Scenario, timeline: Timeline, seed: int, first_index: int) -> Iterator[Client]:
-    """Those that come during the run, in order; a Poisson process for each class, thinned where surges
-    end."""
+    """The clients that arrive during the run, in order.
+
+    Arrivals are a Poisson process at the rate of all surges together, thinned while not all are active.
+    """
     rng = Random(f"{seed}/arrivals")
     peak_factor = 1.0
     for each in timeline.with_effects("surge"):
@@ -128,14 +137,14 @@
 
 
 class RetryPolicy:
-    """What clients do after a refusal, a failure, a move or a break; drawn from one seed."""
+    """When clients retry after a refusal, a failure, a move or a broken connection; drawn from one seed."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._behaviour, self._classes = scenario.clients, scenario.classes
         self._rng = Random(f"{seed}/patience")
 
     def delay_after_answer(self, client: Client, failed: bool, retry_after_ms: float = 0.0) -> float | None:
-        """Seconds until it tries again after a refusal or failure; none: it gives up."""
+        """Seconds until a client retries after a refusal or failure; none if it gives up."""
         client.failed_tries += 1
         client.retried = True
         if client.failed_tries > self._behaviour.retries:
@@ -148,13 +157,13 @@
         return max(wait_ms * self._rng.uniform(0.5, 1.5), retry_after_ms) / 1000
 
     def delay_after_disconnect(self, client: Client) -> float:
-        """Seconds until a moved or cut-off client comes again."""
+        """Seconds until a moved or cut-off client reconnects."""
         client.failed_tries, client.returning, client.retried = 0, True, False
         return self._behaviour.return_ms * self._rng.uniform(0.5, 1.5) / 1000
 
 
 class Dispatcher:
-    """Deals connections out among the balancers of a zone, in turn; others only where the zone has none."""
+    """Distributes new connections over the available balancers in turn."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._zones = len(scenario.zones)
@@ -163,15 +172,15 @@
         self._zone_turn = 0
 
     def remove(self, balancer: int) -> None:
-        """It is dealt nothing from now on."""
+        """Send no new connections to a balancer."""
         self._is_available[balancer] = False
 
     def restore(self, balancer: int) -> None:
-        """It answers again."""
+        """Send new connections to a balancer again."""
         self._is_available[balancer] = True
 
     def next_balancer(self) -> int:
-        """The balancer of the next connection; -1 where there is none."""
+        """The balancer's index for the next connection; -1 if none is available."""
         count = len(self._is_available)
         for _ in range(count):
             self._last_balancer = (self._last_balancer + 1) % count
--- a/switchhub/lab/timeline.py
+++ b/switchhub/lab/timeline.py
@@ -1,7 +1,7 @@
-"""What happens to whom and when: a scenario's troubles as plain intervals, the same for both engines.
+"""Expands a scenario's troubles into intervals of effects on targets, the same for both engines.
 
-Owns: the meaning of each trouble. Must never: depend on what a balancer does, or on the order of two
-troubles; an interval of one trouble does not end another's.
+The meaning of each trouble is defined here. It depends neither on what balancers do nor on the order of the
+troubles: when an interval of one trouble ends, those of other troubles go on.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Interval(NamedTuple):
-    """One effect on one target, from `start` to `end` in seconds. Troubles without length last to the end."""
+    """One effect on one target, from `start` to `end` in seconds; `end` is `FOREVER` without a duration."""
 
     start: float
     end: float
@@ -27,7 +27,7 @@
 
 
 class IntervalChange(NamedTuple):
-    """An interval begins or ends."""
+    """The beginning or the end of an interval."""
 
     at: float
     begins: bool
@@ -35,7 +35,7 @@
 
 
 class DiscoveryUpdate(NamedTuple):
-    """What discovery knows of a server from a moment on."""
+    """A server's state as discovery learns it at a time; `started_at` is 0 if it has not restarted."""
 
     at: float
     server: str
@@ -45,14 +45,14 @@
 
 @dataclass(slots=True)
 class Timeline:
-    """All intervals of a run."""
+    """All intervals of a run; `changes` has their beginnings and ends in order."""
 
     intervals: list[Interval]
     seconds: float
     changes: list[IntervalChange] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Sort what begins and ends."""
+        """Collect and sort the changes; at the same time, ends come before beginnings."""
         self.changes = sorted(
             [IntervalChange(each.start, True, each) for each in self.intervals]
             + [IntervalChange(each.end, False, each) for each in self.intervals if each.end < FOREVER],
@@ -60,11 +60,11 @@
         )
 
     def with_effects(self, *effects: str) -> list[Interval]:
-        """The intervals of these effects, by their starts."""
+        """The intervals with one of these effects, sorted by their starts."""
         return sorted(each for each in self.intervals if each.effect in effects)
 
     def is_active(self, effect: str, target: str, at: float) -> bool:
-        """Whether the effect meets the target then."""
+        """Whether the target is under the effect at a time."""
         return any(
             each.start <= at < each.end
             for each in self.intervals
@@ -72,7 +72,7 @@
         )
 
     def arrival_factor(self, at: float) -> float:
-        """By how much arrivals are multiplied then."""
+        """The factor by which surges multiply arrivals at a time."""
         factor = 1.0
         for each in self.intervals:
             if each.effect == "surge" and each.start <= at < each.end:
@@ -83,8 +83,8 @@
 def _choose_targets(scenario: Scenario, trouble: Trouble, rng: Random) -> list[str]:
     names = matching_names(possible_targets(scenario, trouble), trouble.meets)
     count = round(trouble.part * len(names))
-    chosen = set(rng.sample(names, count))
-    return [name for name in names if name in chosen]
+    chosen_names = set(rng.sample(names, count))
+    return [name for name in names if name in chosen_names]
 
 
 def _expand_trouble(scenario: Scenario, trouble: Trouble, rng: Random) -> list[Interval]:
@@ -115,7 +115,7 @@
 
 
 def expand_troubles(scenario: Scenario, seed: int) -> Timeline:
-    """All intervals of a scenario; whom a part of the targets is, the seed decides."""
+    """All intervals of a scenario; the seed decides which targets a trouble with `part` below 1 has."""
     intervals: list[Interval] = []
     for trouble in scenario.troubles:
         intervals += _expand_trouble(scenario, trouble, Random(f"{seed}/trouble/{trouble.name}"))
@@ -123,8 +123,10 @@
 
 
 def downtimes(timeline: Timeline, server: str) -> list[tuple[float, float]]:
-    """When the server does not run, overlapping troubles merged: it is back when the last of them has
-    ended."""
+    """The times during which the server is down.
+
+    Overlapping troubles are merged: the server is back when the last of them has ended.
+    """
     spans: list[tuple[float, float]] = []
     for each in timeline.with_effects("die"):
         if each.target != server:
@@ -137,7 +139,7 @@
 
 
 def discovery_updates(scenario: Scenario, timeline: Timeline) -> list[DiscoveryUpdate]:
-    """What discovery comes to know, in order. A lying roster names the dead as ready."""
+    """What discovery learns, in order; during `roster-lying` it lists dead servers as ready."""
     delay_s, notice_s = scenario.discovery.delay_s, scenario.discovery.notice_s
     updates: list[DiscoveryUpdate] = []
     for server in scenario.server_names():
@@ -161,7 +163,7 @@
 
 
 def count_targets(scenario: Scenario, timeline: Timeline) -> dict[str, int]:
-    """How many targets each trouble meets, for the results; 0 is allowed and said."""
+    """The number of targets of each trouble, for the results; may be 0."""
     counts = {each.name: 0 for each in scenario.troubles}
     for each in scenario.troubles:
         target_names = {interval.target for interval in timeline.intervals if interval.trouble == each.name}
--- a/switchhub/lab/virtual_network.py
+++ b/switchhub/lab/virtual_network.py
@@ -1,7 +1,7 @@
-"""Pure parts in virtual time: their messages through a network that loses, delays and cuts.
+"""A network in virtual time that delivers, delays, loses and cuts the messages of I/O-free nodes.
 
-Owns: the heap of what is under way. Must never: decide anything for a part. The same seed gives the same
-events, byte for byte.
+The nodes are the real membership and lease implementations; the network only carries their messages and
+wakes them at their deadlines. The same seed gives the same events, byte for byte.
 """
 
 from __future__ import annotations
@@ -14,25 +14,28 @@
 from switchhub.membership.messages import FullState
 from switchhub.peers.codec import MAX_DATAGRAM_BYTES, pack
 
-MEDIAN_LATENCY_S = 0.0005  # seconds one way at the median
-CONNECTION_TRIPS = 3  # ways that a connection costs
+MEDIAN_LATENCY_S = 0.0005  # one way
+CONNECTION_TRIPS = 3  # one-way latencies until a full state sent over a connection has arrived
 
 
 class Node(Protocol):
-    """Messages and the time in; messages and a deadline out."""
+    """A state machine without I/O: takes messages and the time, and yields messages and a deadline.
+
+    `out` holds pairs of a recipient's address and a message; the network empties it.
+    """
 
     out: list[Any]
 
     def turn(self, now: float) -> None:
-        """Do what is due."""
+        """Do what is due at `now`, in seconds of the node's clock."""
         ...
 
     def receive(self, now: float, message: Any) -> None:
-        """Somebody says something."""
+        """Handle a message from another node."""
         ...
 
     def deadline(self) -> float:
-        """When `turn` is due."""
+        """When `turn` is due next, on the node's clock; infinite if never."""
         ...
 
 
@@ -40,7 +43,11 @@
 
 
 class VirtualNetwork(Generic[NodeT]):
-    """Parts by their keys; the address of each is `a-KEY`."""
+    """The nodes by their keys, and the messages between them; a node's address is `a-KEY`.
+
+    `loss` is the fraction of datagrams lost, `stall_max_s` the longest pause of nodes that pause repeatedly.
+    Subclasses start such pauses with an event from the sender `!slow`.
+    """
 
     def __init__(self, rng: Random, loss: float = 0.0, stall_max_s: float = 1.0) -> None:
         self.now = 0.0
@@ -48,15 +55,15 @@
         self.datagrams_sent = self.datagram_bytes = self.full_state_bytes = 0
         self.is_cut: Callable[[str, str], bool] = lambda a, b: False
         self.down: set[str] = set()
-        self.clock_rates: dict[str, float] = {}  # how fast a clock runs
+        self.clock_rates: dict[str, float] = {}  # clock seconds per second of virtual time; 1 if missing
         self.nodes: dict[str, NodeT] = {}
-        self._paused_until: dict[str, float] = {}  # until when one stands still
+        self._paused_until: dict[str, float] = {}  # when a paused node continues
         self._heap: list[tuple[float, int, str, str, Any]] = []
         self._event_count = 0
         self._wakeups: dict[str, float] = {}
 
     def local_time(self, key: str) -> float:
-        """The time by its clock."""
+        """The time on the node's clock, in seconds."""
         return self.now * self.clock_rates.get(key, 1.0)
 
     def _schedule(self, delay: float, recipient: str, sender: str, message: Any) -> None:
@@ -64,10 +71,10 @@
         heapq.heappush(self._heap, (self.now + delay, self._event_count, recipient, sender, message))
 
     def _node_changed(self, key: str) -> None:
-        """A part has heard something or done what was due."""
+        """Called after a node has handled a message or a deadline; for subclasses."""
 
     def _process_output(self, key: str) -> None:
-        """What a part has to say, and when it is to be woken."""
+        """Send the messages in a node's `out`, and schedule its next deadline."""
         node = self.nodes[key]
         out = node.out[:]
         node.out.clear()
@@ -101,7 +108,7 @@
                 self._schedule(max(0.0, wake_at - self.now) + 1e-6, key, "", None)
 
     def run_until(self, until: float) -> None:
-        """Let it pass."""
+        """Deliver all events up to a time, in seconds."""
         while self._heap and self._heap[0][0] <= until:
             self.now, order, recipient, sender, message = heapq.heappop(self._heap)
             if sender == "!slow":
@@ -111,9 +118,8 @@
                 continue
             if recipient in self.down or recipient not in self.nodes:
                 continue
-            if (
-                resumes_at := self._paused_until.get(recipient, 0.0)
-            ) > self.now:  # it reads when it goes on, in order
+            if (resumes_at := self._paused_until.get(recipient, 0.0)) > self.now:
+                # delivered, in order, once the pause is over
                 heapq.heappush(self._heap, (resumes_at, order, recipient, sender, message))
                 continue
             node = self.nodes[recipient]
@@ -127,9 +133,9 @@
         self.now = until
 
     def kill(self, *keys: str) -> None:
-        """They are gone."""
+        """Stop nodes for good; messages to them are dropped."""
         self.down.update(keys)
 
     def pause(self, key: str, seconds: float) -> None:
-        """It stands still, and reads then what came."""
+        """Pause a node; it handles the messages received meanwhile afterwards."""
         self._paused_until[key] = self.now + seconds
