--- a/switchhub/lab/checker.py
+++ b/switchhub/lab/checker.py
@@ -1,10 +1,11 @@
-"""The judge: whether the four rules were kept, from what clients, servers and discovery wrote down.
+"""Checks that balancers keep the four rules, from what clients, servers and discovery observe.
 
-Owns: the story of each connection, from both sides. Must never: take a balancer's word for anything, or let a
-break pass for want of a reason. Times are seconds; both engines tell in the order of time.
+The checker keeps the history of each connection, as seen from both sides. It uses no report of a balancer,
+and it reports a violation even if no cause for it is known. Times are in seconds; both engines report events
+in the order of time.
 
-What each break is called stands in `BREAKS`. A connection's story is dropped once it has ended and nothing
-can be said of it any more.
+`VIOLATION_RULES` lists the kinds of violation. A connection's history is dropped once both sides have ended
+it, because nothing can violate a rule after that.
 """
 
 from __future__ import annotations
@@ -15,6 +16,7 @@
 
 from switchhub.lab.scenario import Scenario
 
+# Name of a violation: the number of the rule that it violates.
 VIOLATION_RULES = {
     "answered twice": 1,
     "never answered": 1,
@@ -30,14 +32,12 @@
     "sent to a draining server": 3,
     "cold server pushed over": 4,
 }
-HISTORY_MAX_ENTRIES = 40  # entries of a story
-LATE_ANSWER_GRACE_S = (
-    2.0  # seconds past its deadline in which an answer that is owed is still called late, not missing
-)
+HISTORY_MAX_ENTRIES = 40  # of one connection; older entries are dropped
+LATE_ANSWER_GRACE_S = 2.0  # an answer this long past its deadline counts as late, afterwards as missing
 
 
 class Violation(NamedTuple):
-    """One break of a rule."""
+    """One violation of a rule: when, by which request, and the history of that request."""
 
     name: str
     rule: int
@@ -47,12 +47,14 @@
     history: tuple[str, ...]
 
     def lines(self) -> list[str]:
-        """For the terminal: what broke, then both sides' story in order."""
+        """Lines for the terminal: the violation, then the history of both sides in order."""
         head = f"rule {self.rule} broken at {self.at:.4f} s: {self.name}: {self.text}"
         return [head, *(f"    {each}" for each in self.history)]
 
 
 class _Attempt:
+    """An attempt to set a connection up at a server, or the connection that came of it."""
+
     __slots__ = ("ended_at", "receipt", "received_at", "server", "verdict")
 
     def __init__(self, server: str, received_at: float) -> None:
@@ -63,6 +65,8 @@
 
 
 class _RequestHistory:
+    """What both sides observed of one request and its connection."""
+
     __slots__ = (
         "adopted",
         "answer",
@@ -87,15 +91,20 @@
         )
         self.answer = ""
         self.attempts: list[_Attempt] = []
-        self.last_line_number = self.last_answer_number = (
-            0  # the last line that the server got, and that came back
-        )
+        self.last_line_number = self.last_answer_number = 0  # received by the server; by the client
         self.has_left = self.closed = self.adopted = False
         self.entries: deque[str] = deque(maxlen=HISTORY_MAX_ENTRIES)
 
 
 class Checker:
-    """Told of everything, in order; `broken` holds what broke."""
+    """Receives all events in the order of time, and collects `violations`.
+
+    `zones` and `cells` give each server's zone and cell. `slack_s` is added to deadlines, because observed
+    times are not exact on real sockets; it is 0 in virtual time.
+
+    A live run's record files name their events after the methods `opened`, `adopted`, `answered`, `left`,
+    `moved`, `ended`, `took`, `said`, `dropped`, `asks` and `knows`, so these names must not change.
+    """
 
     def __init__(
         self, scenario: Scenario, zones: dict[str, int], cells: dict[str, int], slack_s: float
@@ -107,31 +116,27 @@
         self._deadlines: list[tuple[float, str]] = []
         self._overdue: deque[tuple[float, str]] = deque()
         self._receipts: set[str] = set()
-        self._withdrawn_at: dict[
-            tuple[str, str], float
-        ] = {}  # (balancer, server): told to drain or gone, since when
+        # (balancer, server): since when the balancer has been notified that the server drains or is gone
+        self._withdrawn_at: dict[tuple[str, str], float] = {}
         self._death_times: dict[str, list[float]] = {}
-        self._expected_ends: list[tuple[float, str, _Attempt]] = []  # attempts that must have ended by then
+        self._expected_ends: list[tuple[float, str, _Attempt]] = []  # (latest end, request, attempt)
         self._balancer_names = scenario.balancer_names()
         self._watch_retry_s = scenario.discovery.ask_within_s
-        self._unwatched_since: dict[str, float] = {}  # balancers that neither watch nor ask: since when
-        self._known_withdrawn_at: dict[
-            str, float
-        ] = {}  # servers that discovery knows to drain or to be gone, since when
-        self._notified_starts: dict[
-            tuple[str, str], float
-        ] = {}  # (balancer, server): when it last started, as told
+        self._unwatched_since: dict[str, float] = {}  # balancer: since when it has no watch
+        # server: since when discovery knows that it drains or is gone
+        self._known_withdrawn_at: dict[str, float] = {}
+        # (balancer, server): the server's latest start, as published to the balancer
+        self._notified_starts: dict[tuple[str, str], float] = {}
         self._actual_starts: dict[str, float] = {}
-        self.crashes_without_notice = (
-            0  # servers that fell before those who sent there were told of their start
-        )
+        # servers that crashed cold before the balancers that sent to them were notified of their start
+        self.crashes_without_notice = 0
         self.violations: list[Violation] = []
         self.request_count = 0
 
-    # Whoever tells.
+    # Events
 
     def opened(self, at: float, request: str, balancer: str, class_index: int, wait_s: float) -> None:
-        """A client has written its first line's last byte."""
+        """A client has sent its first line completely, and waits `wait_s` for the answer."""
         self._process_due(at)
         history = self._histories[request] = _RequestHistory(balancer, class_index, at, at + wait_s)
         history.entries.append(f"{at:9.4f} client opens at {balancer}, waits {wait_s * 1000:.0f} ms")
@@ -139,7 +144,7 @@
         self.request_count += 1
 
     def adopted(self, request: str, balancer: str, class_index: int, server: str) -> None:
-        """A connection stood before the run."""
+        """A connection was established before the run."""
         history = self._histories[request] = _RequestHistory(balancer, class_index, 0.0, 0.0)
         history.adopted = True
         history.answer = "UP"
@@ -148,7 +153,7 @@
         history.entries.append(f"{0.0:9.4f} stood at {server} through {balancer}")
 
     def answered(self, at: float, request: str, line: str) -> None:
-        """A client has got a line that is an answer."""
+        """A client has received a final answer."""
         self._process_due(at)
         history = self._histories.get(request)
         if history is None:
@@ -167,7 +172,7 @@
             self._report("refused though it may have run", at, request, f"class {self._class_name(history)}")
 
     def left(self, at: float, request: str) -> None:
-        """A client has ended its connection of its own accord."""
+        """A client has closed its connection on its own initiative."""
         history = self._histories.get(request)
         if history is not None:
             history.has_left = True
@@ -175,7 +180,7 @@
             self._drop_if_done(request, history)
 
     def moved(self, at: float, request: str) -> None:
-        """A client was told to move."""
+        """A client has received `MOVE`."""
         history = self._histories.get(request)
         if history is not None:
             history.entries.append(f"{at:9.4f} client is moved")
@@ -183,7 +188,7 @@
             self._drop_if_done(request, history)
 
     def ended(self, at: float, request: str) -> None:
-        """A client's connection has ended, or broke, without its doing."""
+        """A client's connection was closed or reset by the other side."""
         self._process_due(at)
         history = self._histories.get(request)
         if history is None or history.has_left:
@@ -193,14 +198,16 @@
             if not self._was_down(history, at):
                 self._report("never answered", at, request, "the connection ended without an answer")
         elif history.answer.startswith("UP") and not self._was_down(history, at):
-            last = history.attempts[-1] if history.attempts else None
-            if last is not None and last.verdict == "UP":
-                self._report("cut off", at, request, f"{last.server} had not ended it, and no MOVE came")
+            last_attempt = history.attempts[-1] if history.attempts else None
+            if last_attempt is not None and last_attempt.verdict == "UP":
+                self._report(
+                    "cut off", at, request, f"{last_attempt.server} had not ended it, and no MOVE came"
+                )
         history.has_left = True
         self._drop_if_done(request, history)
 
     def took(self, at: float, server: str, request: str) -> None:
-        """A server has the last byte of a first line."""
+        """A server has received a first line completely."""
         self._process_due(at)
         history = self._histories.get(request)
         if history is None:
@@ -217,16 +224,18 @@
                 "sent to a draining server", at, request, f"{server}, told {at - notified_at:.3f} s before"
             )
         self._check_repeat(at, request, history, server)
-        for earlier in history.attempts:
-            if earlier.ended_at is None and earlier.verdict not in ("BUSY", "ERR"):
+        for earlier_attempt in history.attempts:
+            if earlier_attempt.ended_at is None and earlier_attempt.verdict not in ("BUSY", "ERR"):
                 if self._slack_s:
-                    self._expected_ends.append((at + self._slack_s, request, earlier))
+                    self._expected_ends.append((at + self._slack_s, request, earlier_attempt))
                 else:
-                    self._report("two attempts at once", at, request, f"{earlier.server} and {server}")
+                    self._report(
+                        "two attempts at once", at, request, f"{earlier_attempt.server} and {server}"
+                    )
         history.attempts.append(attempt)
 
     def said(self, at: float, server: str, request: str, line: str) -> None:
-        """A server has answered a first line."""
+        """A server has replied to a first line."""
         first_word, _, receipt = line.partition(" ")
         if first_word == "UP":
             self._receipts.add(receipt)
@@ -236,7 +245,7 @@
             history.entries.append(f"{at:9.4f} {server} says {line}")
 
     def dropped(self, at: float, server: str, request: str, by_server: bool) -> None:
-        """The connection between balancer and server has ended, by whom."""
+        """The connection between balancer and server has ended, closed by the server or by the balancer."""
         history, attempt = self._find_attempt(server, request)
         if history is not None and attempt is not None:
             attempt.ended_at = at
@@ -247,7 +256,7 @@
                 self._drop_if_done(request, history)
 
     def server_received_line(self, at: float, request: str, number: int) -> None:
-        """A server has a client's line; they are numbered from 1."""
+        """A server has received a client's line; lines are numbered from 1."""
         history = self._histories.get(request)
         if history is not None:
             if number != history.last_line_number + 1:
@@ -255,7 +264,7 @@
             history.last_line_number = number
 
     def client_received_answer(self, at: float, request: str, number: int) -> None:
-        """A client has the answer to its line."""
+        """A client has received the answer to a line."""
         history = self._histories.get(request)
         if history is not None:
             if number != history.last_answer_number + 1:
@@ -263,7 +272,7 @@
             history.last_answer_number = number
 
     def balancer_notified(self, at: float, balancer: str, server: str, state: str, started_at: float) -> None:
-        """Discovery has written to a balancer what it knows of a server; `born`: 0 for long ago."""
+        """Discovery has sent a server's state to a balancer; `started_at` is 0 if from before the run."""
         if state == "Ready":
             self._withdrawn_at.pop((balancer, server), None)
         else:
@@ -271,25 +280,25 @@
         self._notified_starts[balancer, server] = started_at
 
     def asks(self, at: float, balancer: str, begins: bool) -> None:
-        """A call or a watch of a balancer has come to discovery, or has ended (`begins` is false)."""
+        """A balancer's call to discovery or its watch has begun, or has ended (`begins` is false)."""
         if begins:
             self._unwatched_since.pop(balancer, None)
         else:
             self._unwatched_since.setdefault(balancer, at)
 
     def knows(self, at: float, server: str, state: str) -> None:
-        """Discovery has come to know this of a server, whoever hears of it."""
+        """Discovery has learned a server's state, whether or not it notifies anyone."""
         if state == "Ready":
             self._known_withdrawn_at.pop(server, None)
         else:
             self._known_withdrawn_at.setdefault(server, at)
 
     def server_started(self, at: float, server: str, started_at: float | None = None) -> None:
-        """A server's process is there, cold; `born`: its start as discovery tells it."""
+        """A server has started and is cold; `started_at` is the start that discovery publishes."""
         self._actual_starts[server] = at if started_at is None else started_at
 
     def balancer_died(self, at: float, balancer: str, planned: bool = False) -> None:
-        """A balancer's process has ended. Nothing that it held is excused if it was `planned`."""
+        """A balancer's process has ended; a `planned` end does not excuse what its connections miss."""
         if not planned:
             self._death_times.setdefault(balancer, []).append(at)
         self._unwatched_since.pop(balancer, None)
@@ -301,15 +310,19 @@
     def cold_server_fell(
         self, at: float, server: str, setups: list[tuple[float, str, float]], budget: float
     ) -> None:
-        """A cold server was given more than the `most` that it bears.
+        """A cold server crashed because its set-ups exceeded its budget.
+
+        As with drains, only what balancers were notified of counts: of n balancers, the k that were notified
+        of the server's start must keep to k/n of the budget. If they did, the crash was caused by the others
+        and is counted in `crashes_without_notice`.
 
-        As with drains, what counts is what balancers were told: of n balancers, the k that were told of its
-        start are to keep to k/n of `most`. One that falls by what the others sent is counted in `untold`."""
-        started = self._actual_starts.get(server, -1.0)
+        `setups` are rows of a time, a connection and its load.
+        """
+        started_at = self._actual_starts.get(server, -1.0)
         notified = {
             name
             for name in self._balancer_names
-            if abs(self._notified_starts.get((name, server), 0.0) - started) < 0.001
+            if abs(self._notified_starts.get((name, server), 0.0) - started_at) < 0.001
         }
         notified_load = 0.0
         for _at, request, load in setups:
@@ -326,28 +339,34 @@
             self.crashes_without_notice += 1
 
     def finish(self, at: float) -> list[Violation]:
-        """The run is over; what is still owed by now is missing."""
+        """End the check: answers still due at `at` count as missing. Returns the violations."""
         self._process_due(at)
         for each in self._overdue:
             self._report_unanswered(*each)
         return self.violations
 
     def opened_at(self, request: str) -> float | None:
-        """When a client has opened this connection, while its story is kept."""
+        """When a client opened the connection; none if its history has been dropped."""
         history = self._histories.get(request)
         return None if history is None else history.opened_at
 
-    # What follows from it.
+    # Rules
 
     def _notified_since(self, balancer: str, server: str) -> float | None:
-        """Since when the balancer counts as told that the server drains or is gone: written to it, or known
-        to discovery while it has not asked for longer than it may."""
-        told = self._withdrawn_at.get((balancer, server))
-        unasked, known = self._unwatched_since.get(balancer), self._known_withdrawn_at.get(server)
-        if unasked is None or known is None:
-            return told
-        implied = max(known, unasked + self._watch_retry_s)
-        return implied if told is None else min(told, implied)
+        """Since when the balancer counts as notified that the server drains or is gone; none if it does not.
+
+        It counts as notified once discovery has sent it the state, and also once discovery knows the state
+        while the balancer has gone without a watch for longer than it may.
+        """
+        notified_at = self._withdrawn_at.get((balancer, server))
+        unwatched_since, known_since = (
+            self._unwatched_since.get(balancer),
+            self._known_withdrawn_at.get(server),
+        )
+        if unwatched_since is None or known_since is None:
+            return notified_at
+        implied = max(known_since, unwatched_since + self._watch_retry_s)
+        return implied if notified_at is None else min(notified_at, implied)
 
     def _find_attempt(self, server: str, request: str) -> tuple[_RequestHistory | None, _Attempt | None]:
         history = self._histories.get(request)
@@ -365,12 +384,17 @@
             return
         if request_class.repeat == "unsafe":
             return self._report("unsafe repeated", at, request, f"{may_have_run[0].server}, then {server}")
-        first = may_have_run[0]
+        first_attempt = may_have_run[0]
         group_by_server = {"zone": self._zones, "cell": self._cells}.get(request_class.scope)
-        is_outside = group_by_server is not None and group_by_server[first.server] != group_by_server[server]
-        if is_outside or at - first.received_at > request_class.window_ms / 1000 + self._slack_s:
+        is_outside = (
+            group_by_server is not None and group_by_server[first_attempt.server] != group_by_server[server]
+        )
+        if is_outside or at - first_attempt.received_at > request_class.window_ms / 1000 + self._slack_s:
             self._report(
-                "keyed repeated outside its group or window", at, request, f"{first.server}, then {server}"
+                "keyed repeated outside its group or window",
+                at,
+                request,
+                f"{first_attempt.server}, then {server}",
             )
 
     def _refusal_is_safe(self, history: _RequestHistory) -> bool:
@@ -390,8 +414,8 @@
 
     def _was_down(self, history: _RequestHistory, at: float) -> bool:
         return any(
-            history.opened_at <= died <= at + self._slack_s
-            for died in self._death_times.get(history.balancer, ())
+            history.opened_at <= died_at <= at + self._slack_s
+            for died_at in self._death_times.get(history.balancer, ())
         )
 
     def _process_due(self, now: float) -> None:
@@ -410,7 +434,7 @@
                 self._report("two attempts at once", at, request, f"{attempt.server} was still out")
 
     def _report_unanswered(self, at: float, request: str) -> None:
-        """It was overdue, and whether it is late or missing is known now."""
+        """Report an overdue answer as missing, unless it came late or its balancer died."""
         history = self._histories.get(request)
         if history is not None and not (history.answer or self._was_down(history, at)):
             self._report("never answered", at, request, "nothing by its deadline")
@@ -421,7 +445,7 @@
         self.violations.append(Violation(name, VIOLATION_RULES[name], at, request, text, entries))
 
     def _drop_if_done(self, request: str, history: _RequestHistory) -> None:
-        """Once both sides have ended, nothing can break any more."""
+        """Drop the history once both sides have ended the connection."""
         if history.has_left and all(each.ended_at is not None for each in history.attempts):
             for each in history.attempts:
                 self._receipts.discard(each.receipt)
--- a/switchhub/lab/run_statistics.py
+++ b/switchhub/lab/run_statistics.py
@@ -1,8 +1,7 @@
-"""What a run came to: worth well served, answers, times, loads; counted as it goes, written as JSON at the
-end.
+"""Statistics of a run: messages served in time, answers, durations and loads, written as JSON at the end.
 
-Owns: the counts of one run and their form (versioned). Must never: hold a figure of the wall clock for a
-run in virtual time, or depend on the order of hashes; the same run gives the same bytes.
+The form of the JSON has a version. It holds no wall-clock times of runs in virtual time and does not depend
+on hash order, so that the same run gives the same bytes.
 """
 
 from __future__ import annotations
@@ -17,30 +16,30 @@
 from switchhub.lab.scenario import Scenario
 
 RESULT_VERSION = 1
-SERIES_STEP_S = 0.5  # seconds of one step of the series
+SERIES_STEP_S = 0.5
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-LONGEST_DURATION_US = 120_000_000  # microseconds: the longest time that a histogram tells apart
+LONGEST_DURATION_US = 120_000_000  # longer durations are counted as this one
 
 
 class DurationHistogram:
-    """Durations in microseconds, as an HDR histogram of three digits."""
+    """Durations in steps of 10 microseconds, exported as an HDR histogram of three digits."""
 
     def __init__(self) -> None:
         self._counts: Counter[int] = Counter()
 
     def add(self, seconds: float) -> None:
-        """One duration, to 10 microseconds."""
+        """Add a duration."""
         self._counts[int(seconds * 1e5)] += 1
 
     def histogram(self) -> HdrHistogram:
-        """All of them."""
+        """The HDR histogram of all durations, in microseconds."""
         histogram = HdrHistogram(1, LONGEST_DURATION_US, 3)
         for value, count in sorted(self._counts.items()):
             histogram.record_value(min(max(value * 10, 1), LONGEST_DURATION_US), count)
         return histogram
 
     def percentiles(self) -> dict[str, float]:
-        """Percentiles in milliseconds."""
+        """The count and, if there are any, the percentiles in milliseconds."""
         histogram = self.histogram()
         if not histogram.total_count:
             return {"count": 0}
@@ -51,7 +50,7 @@
 
 
 class RunStatistics:
-    """Counts of one run."""
+    """The counts of one run, in all and for each step of the series."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -67,24 +66,26 @@
         self._last_step = steps - 1
 
     def step_index(self, at: float) -> int:
-        """The step of the series that a moment belongs to."""
+        """The index of the series step at a time in seconds; times after the end belong to the last step."""
         return min(max(int(at / SERIES_STEP_S), 0), self._last_step)
 
     def count_answer(self, at: float, class_index: int, outcome: str) -> None:
-        """A client has its final answer."""
+        """Count a final answer to a client of the class."""
         self.answer_counts[class_index][outcome] += 1
         self.step_events[self.step_index(at)][
             f"answer.{self._scenario.classes[class_index].name}.{outcome}"
         ] += 1
 
     def count_event(self, at: float, name: str) -> None:
-        """Something that is counted, over time and in all."""
+        """Count an event by its name."""
         self.event_counts[name] += 1
         self.step_events[self.step_index(at)][name] += 1
 
     def service(self, start_s: float = 0.0, end_s: float = 1e9) -> float:
-        """Worth of the messages well served over the worth of those that clients wanted to send; 1 if none
-        were."""
+        """Worth of the messages answered in time over the worth of all that clients wanted to send.
+
+        Covers the steps from `start_s` to `end_s`; 1 if clients wanted to send none.
+        """
         first_step, last_step = self.step_index(start_s), self.step_index(end_s)
         wanted = good = 0.0
         for class_index, worth in enumerate(self._worths):
@@ -93,7 +94,7 @@
         return good / wanted if wanted else 1.0
 
     def service_series(self) -> list[float | None]:
-        """Service in each step; none where nothing was wanted."""
+        """The service in each step; none where clients wanted to send nothing."""
         series: list[float | None] = []
         for step in range(self._last_step + 1):
             wanted = sum(
@@ -117,7 +118,7 @@
     violations: list[Violation],
     target_counts: dict[str, int],
 ) -> dict[str, Any]:
-    """The run as plain data."""
+    """The run's result as JSON-compatible data; `target_counts` has the number of targets by trouble."""
     return {
         "version": RESULT_VERSION,
         "scenario": scenario.name,
@@ -166,5 +167,5 @@
 
 
 def dump_json(data: Any) -> str:
-    """JSON whose bytes depend on nothing but the data."""
+    """JSON text that depends on nothing but the data."""
     return json.dumps(data, sort_keys=True, indent=1) + "\n"
