--- a/tests/lab/mutants.py
+++ b/tests/lab/mutants.py
@@ -1,5 +1,7 @@
-"""Balancers that break one rule each; the judge must call each by name. To add one: a subclass and a line
-below."""
+"""Balancers that violate one rule each; the checker must report each violation by name.
+
+To add one, write a subclass and add it to `MUTANTS`.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +12,24 @@
 
 
 class AnswersTwice(SimulatedBalancer):
+    """Sends each final answer twice."""
+
     def send_answer(self, connection: SimulatedConnection, line: str) -> None:
         super().send_answer(connection, line)
         super().send_answer(connection, line)
 
 
 class AnswersNever(SimulatedBalancer):
+    """Does not answer every 50th client."""
+
     def send_answer(self, connection: SimulatedConnection, line: str) -> None:
         if connection.client.index % 50:
             super().send_answer(connection, line)
 
 
 class AnswersLate(SimulatedBalancer):
+    """Answers every 50th client past its deadline."""
+
     def send_answer(self, connection: SimulatedConnection, line: str) -> None:
         extra_delay_s = 1.52 if connection.client.index % 50 == 0 else 0.0
         self.simulation.schedule(
@@ -34,12 +42,14 @@
 
 
 class Forges(SimulatedBalancer):
+    """Sends receipts that no server issued."""
+
     def send_answer(self, connection: SimulatedConnection, line: str) -> None:
         super().send_answer(connection, "UP made-up" if line.startswith("UP") else line)
 
 
 class PassesOverDrains(SimulatedBalancer):
-    """Its module and its connections are never told that a server leaves."""
+    """Ignores that servers drain or are gone."""
 
     def apply_server_list(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
         if kind is ServerListKind.WHOLE:
@@ -58,14 +68,14 @@
 
 
 class ForgetsBirths(SimulatedBalancer):
-    """Takes each server for a warm one."""
+    """Treats each server as warm."""
 
     def apply_server_list(self, kind: ServerListKind, servers: tuple[Server, ...]) -> None:
         super().apply_server_list(kind, tuple(each._replace(started_at=0.0) for each in servers))
 
 
 class RepeatsWhatMayHaveRun(SimulatedBalancer):
-    """After an error it tries the next server by itself."""
+    """Repeats a request at the next server after an error, without asking the decider."""
 
     def repeat_on_next_server(self, connection: SimulatedConnection) -> None:
         names = sorted(self.ready_servers)
@@ -78,6 +88,8 @@
 
 
 class TriesTwoAtOnce(SimulatedBalancer):
+    """Sends each first line to two servers."""
+
     def write_first_line(self, connection: SimulatedConnection, attempt: int, timeout: float) -> None:
         names = sorted(self.ready_servers)
         other = SimulatedConnection(connection.id, connection.client, connection.request)
@@ -89,22 +101,28 @@
 
 
 class RefusesForFailures(SimulatedBalancer):
+    """Answers `BUSY` instead of `FAILED`."""
+
     def send_answer(self, connection: SimulatedConnection, line: str) -> None:
         super().send_answer(connection, "BUSY" if line == "FAILED" else line)
 
 
 class LosesLines(SimulatedBalancer):
+    """Does not pass on the third line of a client."""
+
     def lines_to_server(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
         return () if number == 3 else (number,)
 
 
 class RepeatsLines(SimulatedBalancer):
+    """Passes the answer to the third line on twice."""
+
     def lines_to_client(self, connection: SimulatedConnection, number: int) -> Iterable[int]:
         return (number, number) if number == 3 else (number,)
 
 
 class CutsOff(SimulatedBalancer):
-    """Ends connections without a word instead of moving them."""
+    """Resets connections instead of moving their clients."""
 
     def move_client(self, name: str, result: object = None) -> None:
         connection = self.connections.get(name)
@@ -112,7 +130,7 @@
             self.simulation._deliver_reset(self, connection)
 
 
-# Which mutant must be caught in which scenario of `small.py`, and what the break is called.
+# (mutant, scenario of `small_scenarios.py`, expected violation)
 MUTANTS: list[tuple[type[SimulatedBalancer], str, str]] = [
     (AnswersTwice, "calm", "answered twice"),
     (AnswersNever, "calm", "never answered"),
--- a/tests/lab/small_scenarios.py
+++ b/tests/lab/small_scenarios.py
@@ -1,4 +1,4 @@
-"""Small scenarios for the tests, as plain data to be changed."""
+"""Small scenarios for the tests, as plain data that tests can change."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def scenario_data(**changes: Any) -> dict[str, Any]:
+    """A small scenario as plain data, with some top-level keys replaced."""
     values: dict[str, Any] = {
         "name": "small",
         "shows": "a small fleet for the tests",
@@ -23,6 +24,7 @@
 
 
 def trouble_data(kind: str, at: float, **fields: Any) -> dict[str, Any]:
+    """A trouble as plain data; `at` is its start in seconds."""
     return {"name": f"{kind}-{at:g}", "kind": kind, "at_s": at, **fields}
 
 
@@ -56,4 +58,5 @@
 
 
 def small_scenario(name: str, **changes: Any) -> Scenario:
+    """One of `SMALL_SCENARIOS`, with some top-level keys replaced."""
     return parse_scenario({**SMALL_SCENARIOS[name], **changes})
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -1,4 +1,4 @@
-"""The judge trusts nobody: each mutant is caught by name, the sound balancer is never accused."""
+"""The checker reports each mutant's violation by name, and none of the unmodified balancer."""
 
 from __future__ import annotations
 
@@ -11,26 +11,28 @@
 
 
 @pytest.mark.parametrize(
-    ("mutant", "name", "called"), MUTANTS, ids=lambda each: getattr(each, "__name__", each)
+    ("mutant", "name", "violation"), MUTANTS, ids=lambda each: getattr(each, "__name__", each)
 )
-def test_each_mutant_is_caught_by_name(mutant: type[SimulatedBalancer], name: str, violation: str) -> None:
+def test_each_mutant_causes_the_expected_violation(
+    mutant: type[SimulatedBalancer], name: str, violation: str
+) -> None:
     violations = (
         Simulation(small_scenario(name), 1, decider_factory("design"), balancer_type=mutant).run().violations
     )
     assert [each.name for each in violations[:1]] == [violation]
     assert violations[0].rule == VIOLATION_RULES[violation]
-    assert violations[0].history, "both sides' story of the request"
+    assert violations[0].history, "the violation must include the request's history"
 
 
 @pytest.mark.parametrize("name", SMALL_SCENARIOS)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_sound_balancer_is_never_accused(name: str, seed: int) -> None:
+def test_the_unmodified_balancer_causes_no_violation(name: str, seed: int) -> None:
     outcome = Simulation(small_scenario(name), seed, decider_factory("design")).run()
     assert not outcome.violations
     assert sum(each["served"] for each in outcome.statistics.answer_counts) > 10
 
 
-def test_every_break_is_caught_in_some_mutant() -> None:
+def test_every_kind_of_violation_has_a_mutant() -> None:
     assert {violation for _, _, violation in MUTANTS} == set(VIOLATION_RULES)
 
 
@@ -40,7 +42,7 @@
     return Checker(scenario, dict.fromkeys(names, 0), dict.fromkeys(names, 0), slack)
 
 
-def test_an_answer_in_the_tick_of_the_deadline_is_in_time_and_one_past_the_slack_is_not() -> None:
+def test_an_answer_up_to_the_deadline_plus_slack_is_in_time() -> None:
     late = ["answered late"]
     for after, expected in ((0.0, []), (0.05, []), (0.0501, late), (2.5, ["never answered", *late])):
         checker = new_checker()
@@ -49,7 +51,7 @@
         assert [each.name for each in checker.finish(9.0)] == expected
 
 
-def test_a_balancer_that_dies_owes_nothing_and_its_clients_retry_is_a_new_request() -> None:
+def test_a_dead_balancer_owes_no_answer_and_a_retry_is_a_new_request() -> None:
     checker = new_checker()
     checker.opened(1.0, "r", "b0", 0, 1.5)
     checker.took(1.1, "s-0", "r")
@@ -62,7 +64,7 @@
     assert checker.finish(9.0) == []
 
 
-def test_an_attempt_that_is_given_up_within_the_slack_is_not_a_second_at_once() -> None:
+def test_an_attempt_that_ends_within_the_slack_does_not_overlap_the_next() -> None:
     for ended, expected in ((1.34, []), (1.36, ["two attempts at once"]), (None, ["two attempts at once"])):
         checker = Checker(small_scenario("calm"), {}, {}, 0.05)
         checker.opened(1.0, "r", "b0", 0, 1.5)
@@ -75,7 +77,7 @@
         assert [each.name for each in checker.finish(9.0)] == expected
 
 
-def test_a_cold_server_that_falls_counts_against_those_that_knew() -> None:
+def test_only_balancers_notified_of_the_start_are_blamed_for_a_cold_crash() -> None:
     scenario = small_scenario("cold")
     for notified, expected in (((), []), (("b0", "b1", "b2"), ["cold server pushed over"]), (("b0",), [])):
         checker = Checker(scenario, {}, {}, 0.0)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -1,5 +1,4 @@
-"""Runs in virtual time: the same bytes for a scenario and a seed, whoever plays them, and figures that make
-sense."""
+"""Runs in virtual time: reproducible results, plausible figures, no violations by the project's policy."""
 
 from __future__ import annotations
 
@@ -21,12 +20,13 @@
 
 
 def service(scenario: Scenario, policy: str = "design", seed: int = 1) -> float:
+    """The service of a run; the project's own policy must not violate a rule."""
     result = run_job(Job(scenario, seed, policy))
     assert not result["broken"] or policy != "design"
     return float(result["service"])
 
 
-def test_bytes_do_not_depend_on_hashes_or_workers(tmp_path: Path) -> None:
+def test_result_bytes_do_not_depend_on_hash_seed_or_worker_count(tmp_path: Path) -> None:
     outputs = []
     for seed in ("0", "1"):
         out = tmp_path / f"{seed}.json"
@@ -44,33 +44,33 @@
 
 
 @pytest.mark.parametrize("policy", POLICIES)
-def test_every_policy_serves_a_calm_day(policy: str) -> None:
+def test_every_policy_serves_moderate_load_without_faults(policy: str) -> None:
     assert service(small_scenario("calm"), policy) > 0.95
 
 
-def test_overload_from_the_start_is_refused_in_part_and_the_rest_served() -> None:
+def test_constant_overload_is_partly_refused_and_the_rest_is_served() -> None:
     overloaded = small_scenario("calm", clients={"load": 2.0, "retries": 1, "standing": 0.4}, seconds=15.0)
     assert 0.3 < service(overloaded) < 0.8
     assert service(overloaded, "plain") < service(overloaded) < service(overloaded, "oracle") + 0.05
 
 
-def test_hung_servers_cost_a_second_not_the_run() -> None:
+def test_a_hung_server_reduces_service_only_briefly() -> None:
     hung = small_scenario("calm", troubles=[trouble_data("hang", 2.0, meets=["s-0"])])
     assert service(hung, "random") < service(hung) - 0.01
     assert service(hung) > 0.9
 
 
-def test_everything_dead_serves_nobody_and_breaks_no_rule() -> None:
+def test_with_all_servers_dead_nothing_is_served_and_no_rule_is_violated() -> None:
     dead = small_scenario("calm", troubles=[trouble_data("die", 0.0)])
     assert service(dead) == 0.0
 
 
-def test_a_server_that_falls_stays_down() -> None:
+def test_a_server_that_crashes_cold_stays_down() -> None:
     result = run_job(Job(small_scenario("cold"), 1, "plain"))
     assert result["counts"]["servers.fallen"] == len(result["broken"]) > 0
 
 
-def test_balancers_die_and_return_and_all_is_served_again() -> None:
+def test_service_recovers_after_balancers_die_and_restart() -> None:
     troubles = [
         trouble_data("balancer-die", 1.0, seconds=1.5, meets=["b0"]),
         trouble_data("balancer-restart", 4.0, meets=["b1"]),
@@ -81,7 +81,7 @@
     assert min(each for each in result["series"]["service"][-7:-1] if each is not None) > 0.95
 
 
-def test_a_comparison_says_what_is_shown_and_what_is_not() -> None:
+def test_a_comparison_reports_only_significant_differences() -> None:
     hung = small_scenario("calm", troubles=[trouble_data("hang", 2.0, meets=["s-0"])])
     left = run_jobs([Job(hung, seed, "random") for seed in range(4)], 1)
     right = run_jobs([Job(hung, seed, "design") for seed in range(4)], 1)
@@ -95,13 +95,13 @@
     assert "small" in text and "largest gaps" in text
 
 
-def test_another_checkout_decides_as_this_one_where_it_is_the_same() -> None:
+def test_another_checkout_with_the_same_code_gives_the_same_result() -> None:
     ours = run_job(Job(small_scenario("cold"), 3))
     theirs = run_job(Job(small_scenario("cold"), 3, other_checkout=ROOT))
     assert {**theirs, "policy": "design"} == ours
 
 
-def test_a_balancer_alone_imports_nothing_of_the_lab_nor_its_libraries() -> None:
+def test_a_balancer_process_imports_neither_the_lab_nor_its_libraries() -> None:
     code = (
         "import sys; import switchhub.__main__, switchhub.net.listener\n"
         "heavy = ('switchhub.lab', 'switchhub.cli', 'pydantic', 'rich', 'numpy', 'scipy', 'hdrh')\n"
@@ -113,7 +113,7 @@
     assert result.stdout.strip() == "[]"
 
 
-def test_drains_told_while_first_lines_are_under_way_are_kept() -> None:
+def test_drains_published_while_first_lines_are_in_flight_violate_no_rule() -> None:
     far = {"within_ms": 120.0, "between_ms": 120.0}
     rolling = [trouble_data("rolling", 1.0, stride_s=2.5, drain_s=3.0, down_s=1.0)]
     result = run_job(Job(small_scenario("cold", network=far, troubles=rolling), 1))
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,5 +1,4 @@
-"""Scenario files are checked whole: every fault a line with its path, nothing started; troubles are
-intervals."""
+"""Scenario files are validated completely and all problems reported; troubles expand into intervals."""
 
 from __future__ import annotations
 
@@ -18,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "path"),
+    ("changes", "key_path"),
     [
         ({"sevrers": []}, "sevrers"),
         ({"servers": []}, "servers"),
@@ -36,14 +35,14 @@
         ({"troubles": [trouble_data("errors", 1.0, value=2.0)]}, "troubles.0.value"),
     ],
 )
-def test_each_fault_is_a_line_with_its_path(changes: dict[str, Any], key_path: str) -> None:
+def test_each_problem_is_one_line_with_the_path_of_its_key(changes: dict[str, Any], key_path: str) -> None:
     with pytest.raises(ScenarioError) as raised:
         parse_scenario(scenario_data(**changes))
     assert any(fault.startswith(f"{key_path}: ") for fault in raised.value.problems), raised.value.problems
     assert all("\n" not in fault for fault in raised.value.problems)
 
 
-def test_all_faults_of_all_files_are_told_at_once_with_status_2(tmp_path: Path, capsys: Any) -> None:
+def test_all_problems_of_all_files_are_reported_at_once_with_status_2(tmp_path: Path, capsys: Any) -> None:
     (tmp_path / "a.toml").write_text('name = "a"\nseconds = -4\nshows = "two faults and more"\nnope = 1\n')
     (tmp_path / "b.toml").write_text("name = \n")
     assert main(["check", str(tmp_path / "a.toml"), str(tmp_path / "b.toml"), str(tmp_path / "c.toml")]) == 2
@@ -53,13 +52,13 @@
     assert main(["run", str(tmp_path / "b.toml")]) == 2
 
 
-def test_the_shelf_serves_and_each_says_what_it_shows() -> None:
+def test_the_scenarios_of_the_directory_are_valid_and_described() -> None:
     scenarios = [read_scenario(path) for path in sorted(SCENARIO_DIRECTORY.glob("*.toml"))]
     assert len(scenarios) >= 16
     assert len({each.shows for each in scenarios}) == len(scenarios)
 
 
-def test_overlapping_troubles_on_one_server_end_in_any_order() -> None:
+def test_overlapping_downtimes_of_one_server_are_merged() -> None:
     scenario = small_scenario(
         "calm", troubles=[trouble_data("die", 1.0, seconds=5.0), trouble_data("die", 2.0, seconds=1.0)]
     )
@@ -83,7 +82,9 @@
         max_size=5,
     )
 )
-def test_a_server_is_as_new_once_all_troubles_are_over(drawn_troubles: list[tuple[str, int, int]]) -> None:
+def test_a_server_is_fully_restored_after_all_troubles_have_ended(
+    drawn_troubles: list[tuple[str, int, int]],
+) -> None:
     troubles = [
         {"name": f"t{number}", "kind": kind, "at_s": at, "seconds": length, "value": 1.0}
         for number, (kind, at, length) in enumerate(drawn_troubles)
@@ -98,7 +99,7 @@
     assert server.receive_first_line(1e6, "c", 100.0)[0] is SetupReply.UP
 
 
-def test_a_trouble_may_meet_nobody_or_all() -> None:
+def test_a_trouble_may_have_no_targets_or_all() -> None:
     for fraction, count in ((0.0, 0), (1.0, 4)):
         timeline = expand_troubles(
             small_scenario("calm", troubles=[trouble_data("hang", 1.0, part=fraction)]), 1
