--- a/switchhub/lab/timeline.py
+++ b/switchhub/lab/timeline.py
@@ -12,7 +12,7 @@
 
 from switchhub.lab.scenario import Scenario, Trouble, matching_names, possible_targets
 
-FOREVER = 1e9
+FOREVER = 1e9  # seconds: the end of intervals that last to the end of the run
 
 
 class Interval(NamedTuple):
