--- a/switchhub/management/endpoints.py
+++ b/switchhub/management/endpoints.py
@@ -63,7 +63,7 @@
 def _ok(balancer: ManagedBalancer) -> Response:
     if balancer.restore():
         return Response(200, f"{balancer.phase_name()}\n")
-    return Response(409, f"can't go back to serving: {balancer.phase_name()}\n")
+    return Response(409, f"can't go back to work: {balancer.phase_name()}\n")
 
 
 ENDPOINTS: dict[str, dict[str, _Handler]] = {
--- a/switchhub/management/server.py
+++ b/switchhub/management/server.py
@@ -73,10 +73,10 @@
             pass  # answered like any other request, without a change of protocol
         except httptools.HttpParserError as error:
             if not self._head.complete:
-                return Response(400, f"malformed HTTP request: {error}\n")
+                return Response(400, f"not a call: {error}\n")
         if self._head.complete:
             return handle_request(self._balancer, *self._method_and_target())
-        return Response(431, "request head too long\n") if self._bytes_read > HEAD_MAX_BYTES else None
+        return Response(431, "the call's head is too long\n") if self._bytes_read > HEAD_MAX_BYTES else None
 
     def _method_and_target(self) -> tuple[str, str]:
         return self._parser.get_method().decode("latin-1"), self._head.target.decode("latin-1")
