--- a/switchhub/handover/accept_right.py
+++ b/switchhub/handover/accept_right.py
@@ -20,8 +20,8 @@
 on accepting until the peer's heartbeat says that the peer accepts.
 
 Times are seconds of a monotonic clock that both processes share (CLOCK_MONOTONIC of one machine). A
-generation is at least that clock's milliseconds, so that one claimed without asking the peer is higher than
-all before it; no decision compares a generation with the time.
+generation is at least that clock's milliseconds, so that a generation claimed without asking the peer is
+higher than all earlier ones; no decision compares a generation with the time.
 """
 
 from __future__ import annotations
@@ -29,23 +29,26 @@
 from typing import NamedTuple
 
 HEARTBEAT_INTERVAL_S = 0.05
-STALL_TIMEOUT_S = 0.3  # without a heartbeat for so long, a process counts as stalled
-LOOP_STALL_TIMEOUT_S = 1.0  # so long the main loop may stand still, or lack descriptors, despite heartbeats
+STALL_TIMEOUT_S = 0.3  # time without a heartbeat after which a process counts as stalled
+# The same for a main loop that is stalled or lacks descriptors while heartbeats still arrive.
+LOOP_STALL_TIMEOUT_S = 1.0
 MAX_TICK_GAP_S = 0.1  # after a longer gap between its own ticks, a process reads all messages before it acts
-REGAIN_DELAY_S = 0.5  # of heartbeats, before a process that stalled regains the right; doubled per stall
+# How long the heartbeats of a process that stalled must be steady before it regains the right; doubled for
+# each further stall, up to the maximum.
+REGAIN_DELAY_S = 0.5
 MAX_REGAIN_DELAY_S = 8.0
-ABANDON_TIMEOUT_S = 10.0  # silence after which the peer's connections no longer count: their clients left
+ABANDON_TIMEOUT_S = 10.0  # silence after which the peer's connections no longer count here
 
 
 class RightClaim(NamedTuple):
-    """Announces who holds the right to accept from this generation on. Travels under these field names."""
+    """Announces who holds the right to accept from this generation on. Sent under these field names."""
 
     generation: int
     newer: bool  # whether the newer process holds it
 
 
 class Heartbeat(NamedTuple):
-    """The regular sign of life of a process. Travels under these field names."""
+    """Sent every `HEARTBEAT_INTERVAL_S` while a process runs, under these field names."""
 
     generation: int
     accepts: bool
@@ -87,7 +90,7 @@
         self.newer_holds = False
         self.monitor = PeerMonitor(now)
         self.peer_stalls = 0  # how often the peer stalled while it held the right
-        self.shutting_down = False  # whether this process is
+        self.shutting_down = False  # whether this process is shutting down
         self._peer_accepts = False  # the peer has announced that it accepts in this generation
         self._peer_steady_since = now  # since when the peer's heartbeats arrive without a stall
         self._must_read_first = False  # this process was stalled and has not read what arrived meanwhile
@@ -128,8 +131,9 @@
     def receive_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
         """Note a heartbeat of the peer.
 
-        Once the peer has accepted in this generation, only heartbeats with which it accepts count as signs of
-        life: a process that wakes and is stopped again sends some in between without accepting anybody."""
+        Once the peer has accepted in this generation, only heartbeats that say that it accepts reset the
+        stall timeout: a process that wakes and is stopped again may send heartbeats in between without
+        accepting any client."""
         if self.monitor.is_stalled(now):
             self._peer_steady_since = now
         if heartbeat.accepts or not self._peer_accepts:
@@ -143,10 +147,10 @@
         self._must_read_first = False
 
     def tick(self, now: float, unread: bool) -> RightClaim | None:
-        """Act on the time that has passed; return the claim to send if the right changes hands.
+        """Act on the time that has passed; return the claim to send if this process gives or takes the right.
 
         `unread` says whether messages of the peer are still unread. After a stall of its own this process
-        reads them first: otherwise it would take the peer for stalled that sent heartbeats all the while."""
+        reads them first: otherwise a peer that sent heartbeats throughout would count as stalled."""
         if self.monitor.tick(now) > MAX_TICK_GAP_S:
             self._must_read_first = True
         if not unread:
--- a/switchhub/handover/link.py
+++ b/switchhub/handover/link.py
@@ -1,13 +1,13 @@
 """The link between two processes of one balancer: which of them accepts, and the connections of each.
 
 Owns: the channel, this process's state of the right to accept, the heartbeat thread, the peer's connections
-that are counted here, and what the peer was sent about this process's. Must never: end this process, or serve
-a connection that the peer may still serve.
+that are counted here, and the record of which of this process's connections were reported to the peer. Must
+never: end this process, or serve a connection that the peer may still serve.
 
 An attempt of a stalled peer may still be running at a server, and the peer may wake. So this process only
 counts the peer's connections: their ids stay in use, and none of their requests is tried again here. After
-`ABANDON_TIMEOUT_S` of silence their clients have left and they no longer count in the load sums; a peer that
-wakes later reports everything anew.
+`ABANDON_TIMEOUT_S` without a heartbeat their clients are taken to have left, and they no longer count in the
+load sums; a peer that wakes later reports everything anew.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 TICK_INTERVAL_S = 0.02  # between two checks of the right to accept and of this process's connections
 SENT_REPORT_INTERVAL_S = 0.1  # between two reports of what was sent to cold servers
-MAX_UNCONFIRMED = 32  # connections passed on and not confirmed; so many are stuck if the new process stalls
+MAX_UNCONFIRMED = 32  # connections passed on and not confirmed; if the new process stalls, these hang
 
 
 class ProcessLink:
@@ -63,11 +63,12 @@
         self.is_newer, self.shares_queue = is_newer, shares_queue
         self.peer_pid = channel.peer_pid()
         self.right_state = RightState(time.monotonic(), is_newer) if supports_accept_right else None
-        self.state_received = asyncio.Event()  # the older process has sent what it knows and holds
+        self.state_received = asyncio.Event()  # the older process has sent all of `send_state`
         self._peer_connections: dict[str, messages.HeldConnection] = {}  # counted here, served by the peer
         self._to_move: set[str] = set()  # those of them that the decision module wants moved
-        self._reported: dict[str, str] = {}  # this process's connections that the peer was sent: id to server
-        self._known_sent: set[tuple[str, float, float]] = set()  # load to cold servers that both know of
+        self._reported: dict[str, str] = {}  # this process's connections reported to the peer: id to server
+        # Attempts at cold servers that both processes know of: server, Unix time in milliseconds, load.
+        self._known_sent: set[tuple[str, float, float]] = set()
         self._sent_reported_at = 0.0
         self.lost_connections = 0  # connections of the peer that ended with it
         self._unconfirmed = 0  # connections passed on that the peer has not confirmed
@@ -104,7 +105,8 @@
     def heartbeat_since(self, at: float) -> bool:
         """Return whether a heartbeat has arrived since this monotonic time; true if the peer sends none.
 
-        A process that is told to end can't come back, and the peer that serves may have stopped just before.
+        A process that shuts down asks this with the time of the shutdown: it must not leave the clients to a
+        peer that stopped just before and whose earlier heartbeats say nothing about the present.
         """
         return self.right_state is None or self.right_state.monitor.last_heartbeat > at
 
@@ -167,7 +169,7 @@
         assert self.right_state is not None
         right_state, monitor = self.right_state, self.right_state.monitor
         if right_state.holds_right and not (claimed_here and monitor.is_stalled(now)):
-            # The peer gives it back, or is told to end.
+            # The peer gives the right back, or is shutting down.
             logger.info(
                 "the {} process gives back the right to accept; accepting clients, generation {}",
                 self._peer_age,
@@ -191,7 +193,8 @@
     def _send_heartbeats(self, sock: socket.socket) -> None:
         """Run the heartbeat thread.
 
-        It is no part of the main loop, since one that is late under load is not a stopped process."""
+        It is a thread of its own, because a main loop that is late under load does not mean that the process
+        has stopped."""
         try:
             while not self._closed.wait(HEARTBEAT_INTERVAL_S):
                 heartbeat = self._heartbeat._replace(
@@ -200,7 +203,7 @@
                 with contextlib.suppress(BlockingIOError):  # the peer has not read earlier ones
                     sock.send(messages.encode_message("beat", **heartbeat._asdict()))
         except OSError:
-            pass  # the main loop notices the end when it receives
+            pass  # the main loop notices that the peer has ended when it next receives
         finally:
             sock.close()
 
@@ -216,10 +219,10 @@
     async def follow(self) -> None:
         """Handle the peer's messages until it has ended, which raises `ConnectionResetError`.
 
-        Here the older process raises `MessageError` at a message that it does not know; the newer one logs
-        it."""
+        If a message is malformed or of an unknown kind, this raises `MessageError` in the older process; the
+        newer one logs it and goes on."""
         self._listener.add_link(self)
-        watching = asyncio.create_task(self._run_ticks())
+        tick_task = asyncio.create_task(self._run_ticks())
         try:
             if self.right_state is not None:
                 # Duplicated here, since the channel may be closed before the thread has begun.
@@ -239,7 +242,7 @@
                     self._listener.counters.add("errors")
                     logger.exception("can't handle a message of the other process")
         finally:
-            watching.cancel()
+            tick_task.cancel()
             self.close()
 
     def close(self) -> None:
@@ -287,7 +290,8 @@
             elif kind == "known":
                 self._inherit_server_list(values)
             elif kind == "yours" and self._listener.serving:
-                # Too late: what was learned here is newer, and both processes report loads to cold servers.
+                # This process serves already, so its own learned state is newer and is kept. The load sent to
+                # cold servers is exchanged in `sent` messages.
                 self.state_received.set()
             elif kind == "yours":
                 self._listener.facade.restore_learned_state(
@@ -326,7 +330,9 @@
         return True
 
     def _inherit_server_list(self, values: dict[str, Any]) -> None:
-        """Use the old process's discovery and server list, unless this process serves with one as new."""
+        """Use the old process's discovery address and server list.
+
+        Does nothing if this process serves already and its own list is at least as new."""
         listener = self._listener
         try:
             listing = parse_listing(values["listing"], listener.config.zones, listener.config.kinds)
@@ -401,7 +407,7 @@
     # This process's connections.
 
     def send_state(self) -> None:
-        """Send the newer peer what this process knows and holds."""
+        """Send the newer peer this process's server list, connections and learned state, in this order."""
         listener = self._listener
         address, listing = listener.discovery.snapshot()
         self.send(messages.encode_message("known", discovery="{}:{}".format(*address), listing=listing))
@@ -429,7 +435,7 @@
             for connection_id, server_name in current_servers.items()
             if server_name and reported.get(connection_id) != server_name
         ]
-        new = [
+        newly_placed = [
             held
             for connection_id in placed_ids
             if (held := sessions[connection_id].handover_record()) is not None
@@ -437,11 +443,11 @@
         if ended_ids:
             self.send(messages.encode_message("ended", ids=ended_ids))
         self._report_sent(time.monotonic())
-        for message in messages.encode_held(new):
+        for message in messages.encode_held(newly_placed):
             self.send(message)
         for connection_id in ended_ids:
             del reported[connection_id]
-        reported.update((held.id, held.server) for held in new)
+        reported.update((held.id, held.server) for held in newly_placed)
         with contextlib.suppress(OSError):  # the receiving side notices that the peer has ended
             self._channel.flush()
 
@@ -508,8 +514,8 @@
     ) -> bool:
         """Send the peer an established connection with its sockets; return whether that was possible.
 
-        It is forgotten here as reported, since a connection that the newer peer holds must not be reported as
-        ended."""
+        The connection is removed from those that were reported to the peer: otherwise it would be reported as
+        ended to the peer that now serves it."""
         if not self.can_receive_connections:
             return False
         try:
--- a/switchhub/wirehost/errors.py
+++ b/switchhub/wirehost/errors.py
@@ -6,8 +6,9 @@
 class WireError(ValueError):
     """A message or setting that is missing, malformed or unknown.
 
-    `line` is the number of the input line, counted from 1; 0 until it is known, and for settings that were
-    not read from the line protocol.
+    `message_name` is the kind of message, `field` the name of the field or setting, and `problem` says in a
+    few words what is wrong with it. `line` is the number of the input line, counted from 1; 0 until it is
+    known, and for settings that were not read from the line protocol.
     """
 
     def __init__(self, message_name: str, field: str, problem: str) -> None:
