--- a/switchhub/net/config.py
+++ b/switchhub/net/config.py
@@ -33,7 +33,7 @@
 
 
 class ConfigError(ValueError):
-    """The balancer cannot start with this configuration."""
+    """A configuration or a server list that cannot be used; the text is one line."""
 
 
 class ServerEntry(NamedTuple):
@@ -54,8 +54,10 @@
 class Config(NamedTuple):
     """The balancer's configuration.
 
-    `classes`, `tenants`, `zones` and `kinds` map names to indexes in the settings. `dial_timeout` is in
-    milliseconds, `sockets` is the limit on open descriptors."""
+    `name` is the balancer's name. `seed` determines the random choices of the decision module. `classes`,
+    `tenants`, `zones` and `kinds` map names to indexes in the settings. `dial_timeout` is in milliseconds,
+    `sockets` is the limit on open descriptors. `initial_listing` is the server list from the file, used until
+    discovery has answered."""
 
     name: str
     listen: Address
@@ -152,7 +154,9 @@
 
 
 def validated_listing(listing: Listing, version: int | None) -> Listing:
-    """Return the listing that answers a call from this version; raise `ListingError` if it is implausible.
+    """Return the listing if it is plausible; raise `ListingError` otherwise.
+
+    `version` is the version of the list that the balancer already has; None if it has none.
 
     An overloaded discovery service may return incomplete or stale data. An empty full list would end all
     service, an older version would bring back servers that are gone, and of two entries for one server either
@@ -215,7 +219,7 @@
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """Read the file named by BALANCER_CONFIG; raise `ConfigError` with a one-line message otherwise."""
+    """Read the file named by BALANCER_CONFIG; raise `ConfigError` if it cannot be read or is invalid."""
     path = environ.get("BALANCER_CONFIG", "")
     try:
         with open(path, encoding="utf-8") as file:
--- a/switchhub/net/health.py
+++ b/switchhub/net/health.py
@@ -1,4 +1,4 @@
-"""Measures each server from the lines that pass: for how long it has been silent, and its message delay.
+"""Measures each server from the lines that are relayed: how long it has been silent, and its message delay.
 
 Keeps, for each server, when it last answered and when it last reported its delay. It measures only; what
 follows from a measurement is decided elsewhere.
@@ -14,18 +14,21 @@
 
 from collections import deque
 
-SILENCE_TOTAL_MS = 3000.0  # a server counts as silent when its silence times the waiting lines reaches this,
-SILENCE_MIN_MS = 1000.0  # and its silence alone reaches this
+# A server counts as silent once the time for which it has answered nothing although lines wait reaches the
+# second value, and that time multiplied by the number of waiting lines reaches the first.
+SILENCE_TOTAL_MS = 3000.0
+SILENCE_MIN_MS = 1000.0
 REPORT_INTERVAL_MS = 1000.0  # time between two delay reports of a server
 REPORT_TOLERANCE_MS = 40.0  # deviation from that interval that still counts as on time
-NEVER = 1e15  # milliseconds: longer ago than any time that is compared
-MAX_MISSED_REPORTS = 3  # report intervals after the last report read, up to which another one is expected
+NEVER = 1e15  # milliseconds before the epoch, as the time of an event that has not happened
+MAX_MISSED_REPORTS = 3  # report intervals without a report after which no further report is expected
 REPORTING_WINDOW_MS = 1500.0  # time after a delay report in which answered lines are not used as delays
 # Most that a delay grows between two reports: work piles up at up to one and a half times real time.
 MAX_DELAY_GROWTH_MS = 1.5 * REPORT_INTERVAL_MS
-# Stricter limits where the first two reports came on different connections:
-CROSS_CONNECTION_TOLERANCE_MS = 20.0  # deviation from the report interval
-CROSS_CONNECTION_LOAD_FRACTION = 0.5  # largest part of the connection's expected load
+# Stricter limits for the first two reports of a server if they came on different connections: the deviation
+# from the report interval, and the largest value as a fraction of the connection's expected load.
+CROSS_CONNECTION_TOLERANCE_MS = 20.0
+CROSS_CONNECTION_LOAD_FRACTION = 0.5
 SMALL_LOAD_FRACTION = 0.2  # part of a connection's expected load below which a value may be a delay
 TINY_LOAD_FRACTION = 0.02  # part below which a value is hardly ever a load
 
@@ -58,7 +61,7 @@
     def is_delay(
         self, value: float, now: float, delay_due: bool, max_delay: float = MAX_DELAY_GROWTH_MS
     ) -> bool:
-        """Whether this value is a delay rather than a load; updates `load`, the connection's load as known.
+        """Whether this value is a delay rather than a load; updates `load`, the connection's last known load.
 
         `delay_due`: the server has reported its delay before and its next report is due now. `max_delay`: the
         longest delay in milliseconds that the server can have reached.
@@ -109,7 +112,7 @@
         record.answered_at, record.silent = now, False
 
     def is_silent(self, server: str, waiting_lines: int, longest_wait: float, now: float) -> bool:
-        """Whether the server is silent, while this many lines wait for it, one of them for `longest_wait`."""
+        """Whether the server is silent; `longest_wait` is how long the oldest unanswered line has waited."""
         record = self._record(server, now - longest_wait)
         if not record.silent:
             silence = min(longest_wait, now - record.answered_at)
@@ -117,8 +120,10 @@
         return record.silent
 
     def starts_delay_series(self, server: str, now: float, value: float, expected_load: float) -> bool:
-        """Whether a series of delay reports starts with this value: two that may be delays came one interval
-        apart, on any two connections. The first of the two has already been taken for a load."""
+        """Whether this value starts a series of delay reports.
+
+        It does if an earlier value that may also be a delay came one report interval before, on any of the
+        server's connections. That earlier value has already been counted as a load."""
         if value > min(MAX_DELAY_GROWTH_MS, CROSS_CONNECTION_LOAD_FRACTION * expected_load):
             return False
         small_values_at = self._record(server, now).small_values_at
--- a/switchhub/net/listener.py
+++ b/switchhub/net/listener.py
@@ -46,11 +46,12 @@
 SILENCE_CHECK_INTERVAL_S = 0.1  # interval at which silent connections are looked for
 ACCEPT_FAILURE_PAUSE_S = 0.02  # pause after a connection could not be accepted
 OUT_OF_DESCRIPTORS_S = 0.1  # how long after such a failure the process counts as out of descriptors
-# From the start of a stop: new connections keep coming, and a client moved in this time would come back here.
+# Time from the start of a stop in which clients are still accepted and none is moved: new connections still
+# arrive here, so a moved client would too.
 STOP_ACCEPT_MIN_S = 0.45
 STOP_DEADLINE_MAX_S = 3.0  # longest client deadline that a stop waits for
 STOP_MARGIN_S = 0.3  # added to that deadline
-# Clients are moved evenly between these fractions of the stop's time.
+# Clients are moved evenly over the part of a stop's duration between these fractions of it.
 STOP_MOVE_BEGIN_FRACTION = 0.5
 STOP_MOVE_END_FRACTION = 0.92
 ENDED_IDS_KEPT = 2048  # ids of ended connections that are remembered
@@ -61,11 +62,12 @@
     "sockets",
     "settings",
 )
-# From the start of a drain:
-DRAIN_MOVES_BEGIN_S = 0.1  # clients are moved evenly from here
-DRAIN_MOVES_END_S = 3.5  # to here
-DRAIN_MOVES_FORCED_S = 3.7  # from here on, without waiting for writes that a client does not read
-FINAL_ANSWERS_S = 0.1  # time at the very end of a stop in which open requests are answered
+# Times since the start of a drain. Clients are moved evenly between the first two; from the third on, without
+# waiting for writes that a client does not read.
+DRAIN_MOVES_BEGIN_S = 0.1
+DRAIN_MOVES_END_S = 3.5
+DRAIN_MOVES_FORCED_S = 3.7
+FINAL_ANSWERS_S = 0.1  # time at the end of a stop in which requests that are still open are answered
 
 
 class ConnectionIds:
@@ -113,7 +115,7 @@
         self.pages: dict[str, Callable[[str, str], tuple[int, str]]] = {}  # further management paths
         self.links: list[ProcessLink] = []  # links to other processes of this balancer
         reserved_descriptors = 0
-        if config.management is not None:  # otherwise nothing of it is imported
+        if config.management is not None:  # without a management address its modules are not imported
             from switchhub.handover import sender
             from switchhub.management import server
 
@@ -130,7 +132,7 @@
         self._setup_queue: deque[asyncio.Future[bool]] = deque()
         # The same requests as a heap: latest start, number, future.
         self._setup_deadlines: list[tuple[float, int, asyncio.Future[bool]]] = []
-        self._setup_count = 0
+        self._setup_count = 0  # set-ups queued so far; breaks ties in the heap
         self._tasks: set[asyncio.Task[None]] = set()
         self._stopping = asyncio.Event()
         inherited_socket = None if handover_receiver is None else handover_receiver.listening_socket
@@ -139,7 +141,7 @@
         self.awaiting_input = False
         self._accept_failed_at = -math.inf  # time of the last failure to accept, by the monotonic clock
         self._accept_task: asyncio.Task[None] | None = None
-        self._address_released = False  # this process has closed the clients' address
+        self._address_released = False  # this process has closed its listening socket
         self._accepting = asyncio.Event()
         self._accepting.set()
 
@@ -193,7 +195,7 @@
         return format_metrics(self.config.classes, counters.answers, dispatches, len(self.sessions), *targets)
 
     def drain(self) -> None:
-        """Report as unhealthy, so that new clients go elsewhere, and move the established ones.
+        """Make this process report itself unhealthy, so that new clients go elsewhere, and move its clients.
 
         A second call does nothing."""
         if self.lifecycle.drain():
@@ -324,7 +326,9 @@
         return all(each.holds_right for each in self.links)
 
     def apply_handover_state(self) -> None:
-        """Set the phase and start or stop accepting as the links say; nothing else does so for a handover."""
+        """Set the phase, and start or stop accepting, from the state of the links.
+
+        For a handover, this is the only place that does so."""
         yielded = any(each.yielded for each in self.links)
         if yielded and self.lifecycle.phase in (Phase.READY, Phase.DRAINING):
             self.lifecycle.supersede()
@@ -411,7 +415,8 @@
         """Refuse a request without a session if it has arrived in full and cannot be set up in time.
 
         Returns whether the request was refused. A session costs several times as much as a refusal and would
-        delay requests that can still be served. All other defects of a request are left to its session."""
+        delay requests that can still be served. A malformed request, an id in use and an adoption (`at`) are
+        left to a session."""
         if (
             not client.read_available()
             or (line := client.next_line()) is None
@@ -447,7 +452,9 @@
         return True
 
     async def wait_for_setup_turn(self, latest_start: float) -> bool:
-        """Wait for this request's turn to be set up; return False if `latest_start` passed before that."""
+        """Wait for this request's turn to be set up; return False if `latest_start` passed before that.
+
+        `latest_start` is Unix time in milliseconds."""
         if not self._setup_queue:
             self._start_task(self._release_setups())
         may_start: asyncio.Future[bool] = self.loop.create_future()
@@ -498,7 +505,7 @@
         self._start_task(session.run_resumed())
 
     async def _accept_backlog_and_close(self) -> None:
-        """Accept all clients in the backlog and close the clients' address.
+        """Accept all clients in the backlog and close the listening socket.
 
         Clients left in the backlog when the address closes are reset. And where a new process shares the
         address without a handover, the kernel would go on giving half of the new clients to this one."""
@@ -581,11 +588,11 @@
         time_limit = min(longest_deadline, STOP_DEADLINE_MAX_S) + STOP_MARGIN_S
         started = self.loop.time()
         latest_end = started + time_limit
-        # The later the moves begin, the more of the other restarted balancers serve again.
+        # Where balancers are restarted one after another, later moves find more of the others serving again.
         moves_begin_after = max(STOP_ACCEPT_MIN_S, time_limit * STOP_MOVE_BEGIN_FRACTION)
         # Without a handover sender this process is alone at its address and accepts for as long as it has
         # connections: a client that finds the address closed is lost.
-        keeps_accepting_until = started + STOP_ACCEPT_MIN_S if self._handover_sender is None else math.inf
+        accept_end = started + STOP_ACCEPT_MIN_S if self._handover_sender is None else math.inf
         handover_sender, all_sent, successor_confirmed, stop_time = (
             self._handover_sender,
             True,
@@ -600,7 +607,7 @@
             self.sessions
             or self._tasks
             or not all_sent
-            or not (successor_confirmed or self._address_released or now >= keeps_accepting_until)
+            or not (successor_confirmed or self._address_released or now >= accept_end)
         ):
             if handover_sender is not None:
                 await handover_sender.pass_on_all()
--- a/switchhub/net/session.py
+++ b/switchhub/net/session.py
@@ -30,26 +30,28 @@
     from switchhub.net.listener import Listener
 
 ANSWER_MARGIN_MS = 25.0  # the answer must be ready this long before the client's deadline
-# `UP` would come too late in this time before the deadline; the kernel counts ages in steps of 4 ms.
+# An attempt that succeeds less than this before the deadline is too late. The time at which the first line
+# arrived is only known in steps of 4 ms, the kernel's clock tick.
 UP_MARGIN_MS = 10.0
 FIRST_LINE_TIMEOUT_S = 2.0  # time from the connection's start in which the first line must be complete
 PINGS_MAX = 8  # `PING` lines that may precede the first line
 CLOSE_TIMEOUT_S = 1.0  # time that the other side of an ended connection has to close too
 # Time without an answer to a line after which a connection counts as silent. A silent connection must be
-# moved within 7 s of its last answer. The first line that misses its answer comes up to 2 s after that; 1 s
-# is margin.
+# moved within 7 s of its last answer. Up to 2 s may pass from that answer until the client sends its next
+# line, the first that gets no answer; 1 s is margin.
 SILENCE_TIMEOUT_MS = 7000.0 - 2000.0 - 1000.0
 SILENT_SERVER_TIMEOUT_MS = 250.0  # the same while the server is silent on all its connections
 CLIENT_IDLE_TIMEOUT_MS = 60_000.0  # time without a line after which a client counts as vanished
-ADOPTION_TIMEOUT_S = 38.0  # time in which a connection from before the start must be established again
-ADOPTION_RETRY_S = 0.5  # pause between two attempts at that
-WAIT_MAX_MS = 1e7  # largest `d` that a client can mean
-HINT_MAX = 1e12  # largest `h` that a client can mean
+# Time in which a connection that was open before this process started must be established again.
+ADOPTION_TIMEOUT_S = 38.0
+ADOPTION_RETRY_S = 0.5  # pause between two attempts to do so
+WAIT_MAX_MS = 1e7  # largest valid `d`, the time for which the client waits for an answer
+HINT_MAX = 1e12  # largest valid `h`, the expected load, in microseconds of work per second
 LOGGED_BYTES_MAX = 100  # bytes of a malformed line that are logged
-# Time that pending writes have before a connection is moved instead of handed over.
+# How long a handover waits for pending writes; after that the client is moved instead.
 HANDOVER_WRITE_TIMEOUT_S = 0.8
 UNANSWERED_LINES_KEPT = 16  # unanswered lines whose times are kept
-FINAL_WORD_RESULTS = {b"BYE": Result.OK, b"MOVE": Result.CANCELLED}  # by the server's last line
+LAST_KEYWORD_RESULTS = {b"BYE": Result.OK, b"MOVE": Result.CANCELLED}  # by keyword of the server's last line
 _DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?")
 _FLAGS = {"0": False, "1": True}
 FAILED = b"FAILED\r\n"
@@ -89,6 +91,7 @@
         class_index = config.classes[values["c"]]
         wait_ms = _parse_decimal(values["d"], WAIT_MAX_MS)
         hint = _parse_decimal(values["h"], HINT_MAX) if "h" in values else None
+        # `r` is validated only: it does not affect the decision.
         returning, _ = _FLAGS[values.get("again", "0")], _FLAGS[values.get("r", "0")]
     except (KeyError, ValueError) as error:
         raise LineError(f"{type(error).__name__}: {error}") from None
@@ -145,7 +148,7 @@
         self._established_future: asyncio.Future[None] = listener.loop.create_future()
         self._end_reason: asyncio.Future[EndReason] = listener.loop.create_future()
         self._load_lines = LoadLineClassifier(0.0)
-        self._last_word = b""
+        self._last_keyword = b""
 
     async def run(self) -> None:
         """Serve this client to the end of its connection and release all sockets."""
@@ -174,6 +177,7 @@
             self._listener.sessions[request.id] = self
             self._counters.add("requests.taken")
             logger.debug("{} taken: key {} {}", first_line.id, first_line.key, first_line.values)
+            # `at` names the server of a connection that was open before this process started.
             if "at" not in first_line.values:
                 request = await self._await_admission(request)
             self._client_reader = asyncio.create_task(self._relay_from_client())
@@ -271,7 +275,7 @@
             tuple(self._unanswered_times),
             self._client_active_at,
             self._load_lines.expected_load,
-            self._last_word,
+            self._last_keyword,
             self._move_requested,
         )
         if not send(passed, client.sock, server.sock):
@@ -299,7 +303,7 @@
             held.tenant,
             held.server,
         )
-        session._client_active_at, session._last_word, session._move_requested = (
+        session._client_active_at, session._last_keyword, session._move_requested = (
             passed.heard,
             passed.last,
             passed.move,
@@ -329,8 +333,8 @@
         try:
             return await self._await_first_line()
         except TimeoutError:
-            # If this process was late, a client released as silent may have sent its request, which is still
-            # unread. A request counts as taken from its last byte on, so it must be served.
+            # This process may be late: the client's request may have arrived in time and not been read yet. A
+            # request must be answered once its last byte has arrived, so it is served all the same.
             self.client.read_available()
             line = self.client.next_line()
             if line is None or line.tobytes() == PING:
@@ -362,8 +366,8 @@
     # Set-up.
 
     async def _await_admission(self, request: Request) -> Request:
-        """Wait until the set-up may start if this process is behind; return the request with its remaining
-        budget.
+        """Wait until the set-up may start if this process has more set-ups to do than it can start at once;
+        return the request with its remaining budget.
 
         Raises `ConnectionResetError` if the client left meanwhile, `LineError` if it sent more."""
         admission, now = self._listener.admission, self._clock()
@@ -420,7 +424,7 @@
             facade.report(self._clock(), Ended(request.id, elapsed, result, False))
 
     def _is_abandoned(self) -> bool:
-        """Whether the client no longer waits for an answer or this balancer stops.
+        """Whether the client no longer waits for an answer or this balancer is stopping.
 
         This is the only check before an attempt may begin or become the established connection. It looks at
         the socket itself: the client may leave in the same iteration of the event loop in which an attempt
@@ -513,14 +517,16 @@
         if line[:3].tobytes() == b"UP ":
             return Result.OK
         first_word = line.tobytes().split()[:1]
-        if first_word == [b"BUSY"]:  # with more after it, it does not prove that the request never ran
+        if first_word == [b"BUSY"]:  # proves that the request never ran, unless more data follows
             return Result.FULL if len(line) == len(server.unread()) else Result.ERROR
         if first_word == [b"MOVE"]:
             return Result.CANCELLED
         return Result.ERROR
 
     async def _adopt(self, first_line: FirstLine, request: Request) -> bool:
-        """Establish a connection from before the start again, at its own server; return whether it is."""
+        """Establish a connection again that was open before this process started, at its own server.
+
+        Returns whether it is established; if not, the request has been answered."""
         server = first_line.values["at"]
         loop = asyncio.get_running_loop()
         latest_end = loop.time() + ADOPTION_TIMEOUT_S
@@ -591,7 +597,7 @@
             self.id,
             self.current_server,
             reason.value,
-            self._last_word,
+            self._last_keyword,
         )
         return reason in (EndReason.CLIENT_RESET, EndReason.SERVER_RESET)
 
@@ -600,7 +606,7 @@
             return Result.CANCELLED
         reason = self._end_reason.result()
         if reason is EndReason.SERVER:
-            return FINAL_WORD_RESULTS.get(self._last_word, Result.RESET)
+            return LAST_KEYWORD_RESULTS.get(self._last_keyword, Result.RESET)
         return SERVER_FAULT_RESULTS.get(reason, Result.CANCELLED)
 
     def _report_closed(self, started: float, result: Result) -> None:
@@ -701,7 +707,7 @@
             if not word:
                 continue
             self._counters.add("lines.down")
-            self._last_word = word
+            self._last_keyword = word
             if word != b"M":
                 logger.trace("{} at {}: says {}", self.id, self.current_server, line)
             if word == b"LOAD":
@@ -755,7 +761,7 @@
             self._end(EndReason.MOVED)
 
     def end_for_stop(self) -> None:
-        """End because the balancer stops now; a request without an answer is answered."""
+        """End this session because the balancer stops; a request that is still open is answered `FAILED`."""
         self._end(EndReason.STOPPED)
 
     def longest_wait(self, now: float) -> float:
