--- a/switchhub/decision/placement.py
+++ b/switchhub/decision/placement.py
@@ -66,16 +66,20 @@
 EJECTION_FAILURES = 2  # failures from which on a server is ejected
 TIMEOUT_DEVIATIONS = 4.0  # mean deviations above the mean set-up time that an attempt may take
 SETUP_TIME_GAIN = 1 / 16  # weight of the newest set-up in the moving averages of set-up times
-SUM_NOISE_FACTOR = 2.0  # noise of a sum, in multiples of the square root of its summed squared loads
+# How far a sum may exceed the least one and still count as equal to it, as a multiple of the least sum's
+# statistical error, which is the square root of its summed squared loads.
+SUM_NOISE_FACTOR = 2.0
 GROUP_COST_HINTS = 16.0  # load that a group adds to a server without any of its connections, in mean hints
 GROUP_START_SLACK_HINTS = 4.0  # how far the common start of a group may exceed the least sum, in mean hints
 HASH_MASK = 2**64 - 1  # hashes have 64 bits
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # odd, so that multiplying permutes the hashes
-LOCAL_GROUP_START_CONNECTIONS = 2.0  # mean connections per group and server above which sums choose the start
+# Mean connections of a group at each of its servers above which this balancer's own sums choose where a group
+# starts, instead of the common start.
+LOCAL_GROUP_START_CONNECTIONS = 2.0
 OVERLOAD_DELAY_FRACTION = 1 / 3  # of the shortest message aim: a delay from which on a server is overloaded
 LIMIT_HOLD_MS = 1500.0  # how long a limit stays constant after the last overload signal
 LIMIT_GROWTH_PER_S = 0.02  # fraction of itself by which a limit then grows
-LIMIT_REFILL_PER_S = 0.1  # fraction of the mean sum by which the limit of a nearly empty server grows
+LIMIT_REFILL_PER_S = 0.1  # fraction of the servers' mean sum by which a nearly empty server's limit grows
 LIMIT_CUT_FRACTION = 0.2  # of the limit, taken off by a delay that misses the message aim
 STALL_DELAY_MS = 1000.0  # a delay from which on a server counts as stalled: its limit becomes 0
 RETRY_TIMER_TOKEN = 1  # the only timer: call discovery again
@@ -85,8 +89,10 @@
 QUEUED_CALL_MS = 900.0  # a call that fails after this time or more has waited in discovery's queue
 QUEUED_CALLS_BEFORE_BACKOFF = 3  # failed calls after which queued ones double the wait
 MOVE_RATE_PER_S = 0.07  # fraction of its connections that a balancer moves at most
-SPARSE_MOVE_BUDGET_PER_S = 0.0015  # fraction of connections times the price of a move, for sparse balancers
-SPARSE_MOVE_RATE_MAX_PER_S = 0.3  # fraction of its connections that a sparse balancer moves at most
+# A sparse balancer has at most one connection per server. It moves the first fraction of its connections,
+# divided by the price of a move, but never more than the second.
+SPARSE_MOVE_BUDGET_PER_S = 0.0015
+SPARSE_MOVE_RATE_MAX_PER_S = 0.3
 OVER_SHARE_LIMIT_FRACTION = 0.9  # of a limit, open to tenants that are over their share
 
 
@@ -125,7 +131,9 @@
         self.load_sum = 0  # loads of these connections
         self.groups: Counter[str] = Counter()  # how many of these connections each group has
         self.pending_attempts = 0
-        self.share_before_drain = 0.0  # load here that is this balancer's share though a drain gave it away
+        # This balancer's share of the server's load when its last drain began, until the sum has reached it
+        # again; 0 if there was none. It bounds limits from below.
+        self.share_before_drain = 0.0
         self.failures = 0  # failed set-ups less the successful ones after them
         self.ejected_until = 0.0
         # What the load sum may rise to, and when an overload signal last set it; see `_current_limit`.
@@ -190,7 +198,8 @@
         self._sparse_move_rate = SPARSE_MOVE_BUDGET_PER_S / max(
             settings.move_price, SPARSE_MOVE_BUDGET_PER_S / SPARSE_MOVE_RATE_MAX_PER_S
         )
-        self._move_credit, self._move_credit_at = math.inf, 0.0  # moves allowed, as counted at that time
+        # How many moves are allowed, and when that was last counted.
+        self._move_credit, self._move_credit_at = math.inf, 0.0
         self._filters = (
             self._keep_healthy,
             self._keep_untried,
@@ -285,7 +294,7 @@
     def _on_drain_started(self, _event: DrainStarted) -> None:
         """Keep this balancer's share of each server's load, which the drain is about to give away.
 
-        The share is raised to what this balancer would hold if another one drained in its turn.
+        The share is raised to what this balancer would hold while one of the other balancers drains.
         """
         others = max(1, self._settings.fleet_size - 1)
         for record in self._records.values():
@@ -306,7 +315,8 @@
         request = event.request
         connection = _Connection(request, self._settings, self._load_of(request), self._now + request.budget)
         self._connections[request.id] = connection
-        # Otherwise an overloaded process would work for clients that give up before they are served.
+        # A late request cannot be set up before its client gives up, so an overloaded process must not waste
+        # work on it.
         if request.late:
             self._refuse_or_fail(connection)
         else:
@@ -538,8 +548,8 @@
     def _keep_healthy(self, _connection: _Connection, records: list[_ServerRecord]) -> list[_ServerRecord]:
         """Drop ejected servers; one whose ejection is over gets one attempt at a time.
 
-        An unhealthy server fails fast or holds nothing, so its sum is least and it would attract every
-        request.
+        An unhealthy server fails quickly or has no open connections, so its sum is least and it would attract
+        every request.
         """
         return [
             record
@@ -619,8 +629,9 @@
 
         Most sums of a balancer with few connections are 0, both at old servers that took over the load of
         those that were replaced and at new ones that carry little. Comparing the new servers as a whole
-        with all servers works even for a handful of connections. The share is rounded at random: if each
-        balancer rounded it up to a connection, a single cold server would get the share of twenty.
+        with all servers works even for a handful of connections. The share is rounded to whole connections
+        at random: rounded up by many balancers with few connections each, it would give a single cold server
+        twenty times its share.
         """
         if not self._new_records or len(self._new_records) == len(self._ready_records):
             return records
@@ -652,9 +663,9 @@
     def _must_shed(self, connection: _Connection, records: list[_ServerRecord]) -> bool:
         """Whether to refuse the request because the servers are overloaded; never where a retry could harm.
 
-        Past the fleet's capacity each further connection slows down all others. Servers known to this
-        balancer that are all overloaded are evidence for the unknown ones: with n of them, the request is
-        refused with probability n / (n + 1).
+        Past the fleet's capacity each further connection slows down all others. A balancer knows only the
+        servers where it has connections, or had some before a drain. If all n of these are overloaded, the
+        others probably are too, so the request is refused with probability n / (n + 1).
         """
         fraction = OVER_SHARE_LIMIT_FRACTION if self._is_tenant_over_share(connection) else 1.0
         if not self._retry_is_harmless(connection):
@@ -721,7 +732,9 @@
         self._overload_at = self._now
 
     def _current_limit(self, record: _ServerRecord) -> float:
-        """What the server's sum may rise to: constant after an overload signal, then growing, as it passes.
+        """What the server's sum may rise to: constant for a time after an overload signal, then growing.
+
+        Overload passes, so a limit must not last.
 
         It grows by a fraction of itself, or faster where a server is nearly empty compared with the others,
         and by one mean hint a second in the fleet as a whole, as all balancers raise their limits together.
@@ -841,7 +854,7 @@
         return sum([each for _, each in sent]) + load <= budget + record.rounding_offset * load
 
     def _capacity_share(self, record: _ServerRecord) -> float:
-        """The fraction of its full capacity that a server has now at least."""
+        """The least fraction of its full capacity that a server has now."""
         age, cold = self._cold_age(record), self._settings.cold_share
         return 1.0 if age is None else cold + (1 - cold) * age / self._settings.cold_time
 
@@ -923,7 +936,7 @@
         if self._watching or self._failed_calls == 1:
             self._actions.append(Note("roster lost, asking again"))
         self._watching = False
-        failed = min(self._failed_calls, 9)
+        failed = min(self._failed_calls, 9)  # bounds the exponent below
         if self._discovery_queued and failed > QUEUED_CALLS_BEFORE_BACKOFF:
             # No longer than the calls of all balancers take, one after another.
             longest = min(
