--- a/switchhub/management/endpoints.py
+++ b/switchhub/management/endpoints.py
@@ -1,8 +1,8 @@
 """Routes a management request to its handler and returns the response.
 
-Responsible for the table of endpoints. Does no I/O, does not wait, and keeps no state: the phase is the
-lifecycle's. `/healthcheck` and `/stats` change nothing, however often they are requested; a repeated `fail`
-or `ok` succeeds and changes nothing.
+Responsible for the table of endpoints. Does no I/O, does not wait, and keeps no state: the lifecycle keeps
+the phase. `/healthcheck` and `/stats` change nothing, however often they are requested; a repeated `fail` or
+`ok` succeeds and changes nothing.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, Protocol
 
-PageHandler = Callable[[str, str], tuple[int, str]]
+PageHandler = Callable[[str, str], tuple[int, str]]  # from method and query to HTTP status and body text
 
 
 class ManagedBalancer(Protocol):
@@ -75,7 +75,9 @@
 
 
 def handle_request(balancer: ManagedBalancer, method: str, target: str) -> Response:
-    """Return the response to a request; the endpoints of this module ignore the query in `target`."""
+    """Return the response to a request: 404 for an unknown path, 405 for a method not allowed there.
+
+    The endpoints of this module ignore the query in `target`."""
     path, _, query = target.partition("?")
     handlers = ENDPOINTS.get(path)
     if handlers is None and path in balancer.pages:
--- a/switchhub/management/server.py
+++ b/switchhub/management/server.py
@@ -28,13 +28,15 @@
 from switchhub.net.config import Address, ConfigError
 
 MAX_CONNECTIONS = 48  # connections open at a time
-ACCEPT_BATCH = 32  # connections accepted per interval; an idle one stays open for 15 ms at least
-ACCEPT_INTERVAL_S = 0.01
+# Connections accepted per interval. At this rate it takes 15 ms to replace `MAX_CONNECTIONS`, so even an idle
+# connection stays open that long.
+ACCEPT_BATCH = 32
+ACCEPT_INTERVAL_S = 0.01  # interval in which one batch is accepted
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 8  # the connections, the listening socket, one being accepted
 LISTEN_BACKLOG = 512  # connections
 REQUEST_TIMEOUT_S = 6.0  # time within which a request's head must be complete
 DISCARD_TIMEOUT_S = 0.5  # how long bytes after an answered head are read and discarded
-HEAD_MAX_BYTES = 8192
+HEAD_MAX_BYTES = 8192  # bytes received after which a head that is not complete counts as too long
 DISCARD_MAX_BYTES = 65536  # bytes after an answered head that are read and discarded
 READ_SIZE_BYTES = 4096
 ACCEPT_RETRY_S = 0.02  # pause after accept failed, for example for lack of descriptors
