--- a/switchhub/lab/hunt.py
+++ b/switchhub/lab/hunt.py
@@ -4,8 +4,8 @@
 Two policies run each scenario: `design`, which is this project's balancer, and `oracle`, which sees the true
 state of the simulation. A scenario's loss is the oracle's service minus the design's; a broken rule counts
 for more than any loss. A scenario is shrunk in single steps (fewer troubles, servers, classes, balancers,
-seconds or zones), and both policies run again after each. A step is kept only if the result still shows the
-same broken rule or most of the loss.
+seconds or zones), and both policies run again after each. Troubles are the faults that a scenario injects. A
+step is kept only if the result still shows the same broken rule or most of the loss.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 SHRUNK_SCENARIOS_MAX = 3  # how many of the worst scenarios are shrunk and written
 KEPT_LOSS_FRACTION = 0.7  # of the loss that a smaller scenario must still show
 WRITTEN_LOSS_MIN = 0.01  # scenarios that lose less are not written
-SHRINK_TRIES_MAX = 60  # smaller scenarios tried for one
+SHRINK_TRIES_MAX = 60  # smaller scenarios tried for one that was found
 TROUBLE_KINDS = (
     "die", "hang", "slow", "errors", "full", "noisy", "drain", "rolling", "roster-out", "roster-stale",
     "roster-lying", "balancer-die", "balancer-restart", "zone-cut", "surge", "drop",
@@ -31,7 +31,9 @@
 
 
 class Evaluation(NamedTuple):
-    """A scenario with its loss, and the name of the first broken rule, or "" if none was."""
+    """A scenario's data and seed, its loss of service (at most 1, or `VIOLATION_LOSS`), and its violation.
+
+    `violation` is the name of the first broken rule, or "" if none was broken."""
 
     loss: float
     violation: str
@@ -142,7 +144,7 @@
 ) -> Evaluation:
     """The smallest scenario that `SHRINK_TRIES_MAX` tries lead to and that still shows what `found` does.
 
-    That is the same broken rule, or `KEPT_LOSS_FRACTION` of the loss of the scenario before."""
+    That is the same broken rule, or after each step at least `KEPT_LOSS_FRACTION` of the loss before it."""
     tries = 0
     while tries < SHRINK_TRIES_MAX:
         for data in smaller_scenarios(found.data):
@@ -151,12 +153,12 @@
                 candidate = run_scenario(data, found.seed)
             except ScenarioError:  # a trouble's target was removed
                 continue
-            same = (
+            still_shows = (
                 candidate.violation == found.violation
                 if found.violation
                 else candidate.loss >= KEPT_LOSS_FRACTION * found.loss
             )
-            if same:
+            if still_shows:
                 found = candidate
                 break
             if tries >= SHRINK_TRIES_MAX:
@@ -206,8 +208,9 @@
 def run(draws: int, seed: int, out: Path, workers: int = 0) -> int:
     """Run `draws` random scenarios and write the worst, shrunk, to files in the folder `out`.
 
-    `workers` is the number of processes; 0: one for each core. Returns the exit status: 1 if a rule was
-    broken. Raises RuntimeError if a generated scenario is not valid, which is a fault of this module."""
+    `seed` determines the scenarios that are generated; the n-th one runs with seed n. `workers` is the number
+    of processes; 0: one for each core. Returns the exit status: 1 if a rule was broken. Raises RuntimeError
+    if a generated scenario is not valid, which is a fault of this module."""
     drawn: list[tuple[dict[str, Any], int, Scenario]] = []
     number = 0
     while len(drawn) < draws:
--- a/switchhub/lab/live/runner.py
+++ b/switchhub/lab/live/runner.py
@@ -39,13 +39,13 @@
 SERVERS_MAX = 60
 LINES_PER_S_MAX = 4000
 SPARE_DESCRIPTORS = 200  # file descriptors of each process for everything but connections
-START_TIMEOUT_S = 20.0  # for servers and discovery to listen
-CLIENTS_READY_TIMEOUT_S = 60.0  # for the clients to set up the connections that are open at the start
-EXIT_TIMEOUT_S = 10.0  # for a lab process to exit after its standard input was closed
-BALANCER_STOP_TIMEOUT_S = 4.5  # for a balancer to exit after SIGTERM
+START_TIMEOUT_S = 20.0  # time in which servers and discovery must listen
+CLIENTS_READY_TIMEOUT_S = 60.0  # time in which the clients must set up the initial connections
+EXIT_TIMEOUT_S = 10.0  # time in which a lab process must exit after its standard input was closed
+BALANCER_STOP_TIMEOUT_S = 4.5  # time in which a balancer must exit after SIGTERM
 START_DELAY_S = 0.3  # from the start command to the start of the run: time to read the command
-LATE_CHECK_FRACTION_MAX = 0.01  # of its lateness checks at which a lab process may be late
-LATENESS_MAX_S = 0.4  # by which a lab process may be late at a single check
+LATE_CHECK_FRACTION_MAX = 0.01  # largest fraction of late checks among a lab process's checks of its lateness
+LATENESS_MAX_S = 0.4  # longest delay of a lab process at a single check
 
 
 class UnfitError(Exception):
@@ -114,7 +114,8 @@
     def __init__(self, scenario: Scenario, seed: int, other_checkout: Path | None, folder: Path) -> None:
         """Choose the ports and build the plan; balancers are started from `other_checkout` if it is given.
 
-        `folder` receives the plan, the configurations, the logs and the records.
+        `folder` receives the plan, the configurations, the logs and the records. `seed` determines the faults
+        of the scenario, its clients and the seeds of the balancers.
         """
         self.scenario, self.seed, self.folder = scenario, seed, folder
         self.checkout = other_checkout or ROOT
@@ -134,8 +135,8 @@
         self.lab_processes: dict[str, asyncio.subprocess.Process] = {}
         self.balancers: dict[int, asyncio.subprocess.Process] = {}
         self.balancer_exits: list[tuple[float, str, bool]] = []  # time in the run, name, whether planned
-        self.notes: list[str] = []
-        self.crashes: list[str] = []
+        self.notes: list[str] = []  # remarks for the result
+        self.crashes: list[str] = []  # one text for each balancer that exited by itself
         self._start_monotonic_s = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self._stopping = False
@@ -240,6 +241,7 @@
             self.crashes.append(f"b{index} ended by itself with status {status} at {self.now():.2f} s")
 
     async def _apply_trouble(self, interval: Interval) -> None:
+        """Kill, restart or reload a balancer, as this fault of the scenario says, at its start time."""
         index = int(interval.target[1:])
         await asyncio.sleep(max(0.0, interval.start - self.now()))
         process = self.balancers[index]
--- a/switchhub/lab/live/servers.py
+++ b/switchhub/lab/live/servers.py
@@ -1,7 +1,7 @@
-"""The servers of a live run, all in one process: each `StandIn` listens on one port per zone of balancers.
+"""The servers of a live run, all in one process: each listens on one port per zone of balancers.
 
-Servers send balancers only lines of the protocol. While the network between two zones is cut, servers do not
-answer across it: the bytes that arrive are buffered and handled once the cut ends.
+Servers and balancers exchange nothing but lines of the protocol. While the network between two zones is cut,
+servers do not answer across it: the bytes that arrive are buffered and handled once the cut ends.
 """
 
 from __future__ import annotations
@@ -87,9 +87,9 @@
         if self.transport is None or self.server.dead or self.server.hanging:
             return
         self.up = True
-        receipt = f"UP {self.server.name}.{self.id}"
-        self.process.record("said", self.server.name, self.id, receipt)
-        self._send_line(receipt)
+        up_line = f"UP {self.server.name}.{self.id}"
+        self.process.record("said", self.server.name, self.id, up_line)
+        self._send_line(up_line)
 
     def _handle_message(self, line: str) -> None:
         process, now = self.process, self.process.now()
@@ -100,14 +100,14 @@
         self._last_answer_at = max(
             self._last_answer_at, now + self._round_trip_s + self.server.message_delay(now)
         )
-        if self._last_answer_at - now < 0.001:
+        if self._last_answer_at - now < 0.001:  # seconds
             self._send_line(line)
         else:
             asyncio.get_running_loop().call_later(self._last_answer_at - now, self._answer_message, line)
 
     def _answer_message(self, line: str) -> None:
         if self.server.hanging or not self.process.can_reach(self.zone, self.server.spec.zone):
-            # Try again until the server answers and the network carries the answer.
+            # Try again every 0.1 s until the server answers and the network carries the answer.
             self.process.schedule(self.process.now() + 0.1, self._answer_message, line)
         else:
             self._send_line(line)
@@ -177,7 +177,7 @@
         ]
 
     async def serve(self) -> None:
-        """Listen on the ports of all servers, then report ready; troubles begin with the run."""
+        """Listen on the ports of all servers, then report ready; no fault is injected before the run."""
         for name in self.servers:
             await self.listen(name)
         notify_runner("ready")
