--- a/tests/test_discovery_retry.py
+++ b/tests/test_discovery_retry.py
@@ -24,7 +24,9 @@
 from tests.balancer_driver import BalancerDriver, make_server, make_settings
 from tests.harness import FakeServer, running_balancer
 
-KNOWN_AFTER_MS = 6000.0  # after discovery's return, or the end of a watch, its balancers count as informed
+# Rule 3 holds a balancer to what discovery knows from this time on, counted from when discovery answers again
+# or from the end of the balancer's watch.
+KNOWN_AFTER_MS = 6000.0
 CALL_WORK_MS = 125.0  # how long discovery works on a call
 CALL_TIMEOUT_MS = 2000.0  # how long a caller waits
 QUEUE_LENGTH_MAX = 24  # calls that may wait in discovery's queue
@@ -33,7 +35,8 @@
 def simulate_discovery_queue(starts: list[float], until: float) -> tuple[list[float], int]:
     """When balancers that start to call at these times were served, and how many calls failed.
 
-    Calls wait in one queue. A call that has waited too long fails, but still takes its turn in the queue.
+    Calls wait in one queue. A call that has waited too long fails, but still takes its turn in the queue. All
+    times are in milliseconds.
     """
     balancers = [Balancer(make_settings(fleet_size=len(starts)), seed) for seed in range(len(starts))]
     served: list[float] = []
@@ -69,11 +72,11 @@
             failed += 1
             for action in balancers[number].handle(now, ServerListFailed()):
                 if isinstance(action, SetTimer):
-                    fires = now + action.delay
-                    heapq.heappush(events, (fires, next(sequence), "call", number))
+                    fires_at = now + action.delay
+                    heapq.heappush(events, (fires_at, next(sequence), "call", number))
                     assert any(
                         isinstance(each, WatchServerList)
-                        for each in balancers[number].handle(fires, TimerFired(action.token))
+                        for each in balancers[number].handle(fires_at, TimerFired(action.token))
                     )
     return served, failed
 
@@ -108,7 +111,8 @@
 def test_the_wait_grows_while_answers_are_rejected() -> None:
     """A rejected answer still names leaving servers; if it counted as a success, the wait would start anew.
 
-    Its content counts as known 6 s later, so the wait must not grow as long as after queued calls.
+    The balancer counts as knowing the content of the answer 6 s later (`KNOWN_AFTER_MS`), so these waits have
+    a lower limit than waits after calls that timed out in discovery's queue.
     """
     driver = BalancerDriver()
     driver.update_server_list(make_server("a"), make_server("b"))
@@ -120,14 +124,16 @@
         driver.advance(waits[-1])
     assert max(waits[2:]) > 3000.0
     assert max(waits) <= KNOWN_AFTER_MS - CALL_TIMEOUT_MS
-    assert driver.open_connection() == "a", "rule 3 holds for b, and a server that is not named stays"
+    assert driver.open_connection() == "a", (
+        "b is draining and gets nothing new (rule 3); a, which the answer does not name, stays listed"
+    )
 
 
 def listed_after_return(outage: float, held: float, seed: int) -> float:
     """How long after discovery's return a balancer has the list.
 
-    During the outage each call fails after `held`; afterwards each is answered after `CALL_TIMEOUT_MS`,
-    which is the time that a full queue takes.
+    During the outage each call fails after `held` ms; afterwards each is answered after `CALL_TIMEOUT_MS`,
+    which is the time that a full queue takes. `outage` and the result are in milliseconds too.
     """
     balancer = Balancer(make_settings(), seed)
     balancer.start(0.0)
@@ -144,11 +150,14 @@
 @pytest.mark.parametrize(
     ("held", "longest"), [(0.0, 30_000.0), (50.0, 30_000.0), (CALL_TIMEOUT_MS, 10_000.0)]
 )
-def test_the_list_at_discoverys_return_arrives_before_it_counts_as_known(held: float, longest: float) -> None:
-    """The wait must not grow through an outage: 6 s after discovery's return its list counts as known.
-
-    A call that is held across the return adds its own time. Where calls are held until they time out in a
-    queue, the wait must grow on after 10 s, as the first test shows.
+def test_after_an_outage_the_list_arrives_before_the_balancer_counts_as_knowing_it(
+    held: float, longest: float
+) -> None:
+    """The wait must not grow through an outage: 6 s after its end the balancer counts as
+    knowing discovery's list.
+
+    A call that is pending when discovery returns delays the next one by up to `held`. Where calls are held
+    until they time out in a queue, the wait must grow on after 10 s, as the first test shows.
     """
     for outage in (3000.0, 5000.0, 8000.0, 10_000.0, 30_000.0):
         if outage <= longest:
@@ -156,7 +165,10 @@
 
 
 def test_a_silent_watch_is_reopened_before_what_it_misses_counts_as_known(tmp_path: Path) -> None:
-    """A silent watch used to be given up after 12.2 s, and the next call came up to 3 s later."""
+    """If a silent watch is given up too late, the balancer uses servers that it must know to be leaving.
+
+    That happens with a time-out of 12.2 s and a wait of up to 3 s before the next call.
+    """
 
     async def scenario() -> None:
         servers = [FakeServer("a"), FakeServer("b")]
@@ -167,7 +179,7 @@
                 discovery.unanswered_calls = 1
                 while discovery.unanswered_calls:
                     await asyncio.sleep(0.01)
-            # The difference leaves the time that a full queue takes.
+            # The call that is subtracted may take its whole time-out in a full queue.
             async with asyncio.timeout((KNOWN_AFTER_MS - CALL_TIMEOUT_MS) / 1000):
                 await discovery.change("b", "Terminating")
                 await program.wait_for_log("server b draining")
@@ -188,7 +200,7 @@
 
 
 def test_failures_of_one_discovery_do_not_delay_calls_to_the_next() -> None:
-    """After a reload with another discovery the first call failed, and the next came over 15 s later."""
+    """Otherwise, if the first call to a new discovery address fails, the next comes over 15 s later."""
     driver = BalancerDriver(make_settings(fleet_size=100))
     assert max(waits_after_queued_calls(driver, 7)) > 10_000.0, "many balancers share one queue"
     driver.feed(DiscoveryChanged())
@@ -198,7 +210,7 @@
 
 
 def test_few_balancers_wait_no_longer_than_their_calls_can_fill_a_queue() -> None:
-    """With six balancers a wait used to double up to 16 s, though six calls take discovery about a second."""
+    """Six calls take discovery about a second, so waits of six balancers must not double up to 16 s."""
     assert (
         max(waits_after_queued_calls(BalancerDriver(make_settings(fleet_size=6)), 9))
         <= KNOWN_AFTER_MS - CALL_TIMEOUT_MS
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -94,10 +94,10 @@
     facade = make_facade(Repeat.SAFE, "a", "b")
     for number in range(20):
         facade.report(1000.0, Adopted(request(f"r{number}"), "a"))
-    moves = []
+    moves = []  # how many connections are moved in each step of 100 ms
     for now in range(2000, 4000, 100):
         facade.report(float(now), Delay("r0", 500.0))
         moves.append(len(facade.tick(float(now)).moves))
-    assert [second for second, count in enumerate(moves) if count] == [0, 9, 18]
+    assert [step for step, count in enumerate(moves) if count] == [0, 9, 18]
     facade.report(4000.0, Delay("r0", 1.0))
     assert facade.tick(4000.0).moves == []
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -43,21 +43,21 @@
 def test_the_successor_continues_the_cold_budget() -> None:
     """Rule 4: with a budget of its own for each process, both together would overload a cold server."""
 
-    def sent(restores: bool) -> int:
+    def placed_at_cold(restores: bool) -> int:
         driver = BalancerDriver(now=100_000.0)
         driver.update_server_list(make_server("a"), make_server("cold", started_at=driver.now - 100.0))
         for _ in range(30):
             driver.open_connection()
         for record in driver.balancer._records.values():
             for name in list(record.connections):
-                if record.id == "cold":  # what was sent counts though it has ended
+                if record.id == "cold":  # ended connections still count in the budget
                     driver.end_attempt(name, Result.OK)
         assert driver.balancer._records["cold"].cold_sends
         successor = successor_of(driver, restores)
         return sum(successor.open_connection() == "cold" for _ in range(10))
 
-    assert sent(restores=False) > 0
-    assert sent(restores=True) < sent(restores=False)
+    assert placed_at_cold(restores=False) > 0
+    assert placed_at_cold(restores=True) < placed_at_cold(restores=False)
 
 
 def test_the_successor_knows_limits_and_ejections_from_the_start() -> None:
@@ -88,7 +88,10 @@
 
 
 def driver_after_drain(ended: bool = True) -> BalancerDriver:
-    """Ten connections at each of two servers, all moved away in a drain while both report overload."""
+    """Ten connections at each of two servers, all moved away in a drain while both report overload.
+
+    Without `ended` the drain still goes on.
+    """
     driver = BalancerDriver()
     driver.update_server_list(make_server("a"), make_server("b"))
     requests = [driver.send_request() for _ in range(20)]
@@ -103,8 +106,8 @@
     return driver
 
 
-def test_sums_that_fell_in_a_drain_are_no_limits() -> None:
-    """After its own drain a balancer used to refuse half of the clients that the next one moved away."""
+def test_low_sums_after_a_drain_do_not_become_limits() -> None:
+    """Otherwise a balancer, after its own drain, refuses half of the clients that the next balancer moves."""
     driver = driver_after_drain()
     for _ in range(20):
         driver.send_request()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Lease tests: exhaustive exploration of small systems, variants without a safeguard, and single messages.
+"""Leases: exhaustive exploration of small systems, classes that lack one safeguard, and single messages.
 
 The explorer runs three voters and two candidates through every order of events within a budget of faults.
 Each safeguard is then removed in a subclass, and the explorer has to find the fault that it prevents.
@@ -37,7 +37,7 @@
 from switchhub.leases.voter import Voter
 from switchhub.peers.codec import MAX_DATAGRAM_BYTES, pack
 
-MAX_STATES = 60_000
+MAX_STATES = 60_000  # states of the system that an exploration may visit
 
 
 @pytest.mark.parametrize(
@@ -176,8 +176,8 @@
 def test_clock_drift_up_to_the_bound_is_allowed_for() -> None:
     """Grants are kept long enough for the allowed clock drift, and leases count from the request.
 
-    A violation shows only if the lease is long compared with the time until the next holder: hence longer
-    leases.
+    Drift grows with the length of the lease: a violation shows only if the lease is long compared with the
+    time until the next holder takes over. The leases here are therefore longer than elsewhere.
     """
     long_lease = LeaseConfig(
         TERMS.voters, length=6.0, max_length=6.0, margin=0.0625, transfer_reservation=0.25
@@ -216,7 +216,7 @@
 
 
 class AcceptsEitherVoterSet(Voter):
-    """Votes, while the voters are changed, for holders that need a majority of only one of the sets."""
+    """During a change of voters, votes for candidates that count a majority of only one of the two sets."""
 
     def _vote(self, message: ProposeRequest, now: float) -> str:
         electorate = self.config.electorate if self.config.shares_voter_set(message.electorate) else (1, 0)
@@ -258,8 +258,8 @@
 ) -> None:
     """Each variant leads to two holders, and the real voter does not under the same events.
 
-    The check of the other electorates is needed if nobody holds the lease while the voter waits; else the
-    voter learns of the other electorate from the holder's renewals.
+    While somebody holds the lease, a waiting voter learns of the other electorate from the holder's renewals.
+    Only if nobody does, it depends on the check of the other voters' electorates.
     """
     for voter_class in (voter, Voter):
         system = Duties(
@@ -341,7 +341,7 @@
 
 
 def test_voters_are_changed_without_a_gap_longer_than_a_lease() -> None:
-    """Operators deploy both sets to non-voters first, and remove `before` from voters first.
+    """Both sets are deployed to non-voters before voters; `before` is removed from voters before non-voters.
 
     Meanwhile there is never more than one holder, and no gap without a holder exceeds the bound.
     """
@@ -480,7 +480,7 @@
 
 
 def test_with_a_token_file_no_token_is_voted_for_before_it_is_stored(tmp_path: Path) -> None:
-    """A voter that does not know the tokens of the others yet does not store a limit either."""
+    """A voter that does not know the tokens of the other voters yet stores no limit."""
     token_file = TokenFile(tmp_path, "v0", TERMS.electorate)
     assert token_file.read() is None
     voter = Voter(_process("v0"), TERMS, 0.0, persists_tokens=True)
@@ -617,6 +617,7 @@
     network.sent_count = 0
     network.run(9.0)
     assert all(proposer.held_token(f"x{number}", network.now) for number in range(1000))
+    # At most 12 renewals in 9 s, each a request and a reply for each of the 3 voters, and 6 spare messages.
     assert network.sent_count <= 12 * 2 * 3 + 6
 
 
@@ -751,7 +752,7 @@
 
 
 def test_one_voter_with_an_outdated_grant_does_not_delay_an_attempt() -> None:
-    """If its reply came first, it ended the attempt before the replies of the two free voters came."""
+    """Its reply, if it comes first, must not end the attempt before the two other voters have replied."""
     proposer = Proposer(_process("a"), TERMS, 1, 0.0)
     proposer.acquire("duty", 0.0)
     proposer.turn(0.0)
@@ -788,7 +789,7 @@
 
 
 def test_the_deadline_is_not_in_the_past_while_a_proposal_is_pending() -> None:
-    """With a lost reply the overdue status request kept the deadline in the past: 0.3 s of busy looping."""
+    """A status request without a reply must not keep the deadline in the past: a busy loop of 0.3 s."""
     proposer = Proposer(_process("a"), TERMS, 1, 0.0)
     proposer.acquire("duty", 0.0)
     proposer.turn(0.0)
@@ -806,13 +807,14 @@
 def test_losing_a_fifth_of_all_messages_delays_the_next_holder_only_a_little() -> None:
     """If only a bare majority is up, each of its replies is needed.
 
-    Without resending, the gap was 9.6 s in the mean and 25 s at most; with resending, 1.5 s and 4.6 s.
+    Without resending, the time without a holder is 9.6 s on average and 25 s at most; with resending, 1.5 s
+    and 4.6 s.
     """
     assert sum(gap(5, seed, "cut", 1.0, 0.2) for seed in range(1, 17)) / 16 < 3.0
 
 
 def test_a_holder_keeps_its_lease_while_a_fifth_of_all_messages_is_lost() -> None:
-    """100 s, leases of 1 s, five voters; without resent renewals the lease was lost four times."""
+    """100 s, leases of 1 s, five voters; without resending renewals the lease is lost four times."""
     simulation = Electorate(5, 1, 1.0, 0.2)
     simulation.until_held(LIMIT)
     simulation.kill("c1" if simulation.holder == "c0" else "c0")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -127,7 +127,7 @@
         server = FakeServer("a", "silent")
         async with running_balancer(tmp_path, server) as (balancer, _):
             client = await balancer.open(kind="pay", wait=400)
-            # The client's deadline and the slack that the rules allow.
+            # The client's deadline, and 50 ms by which the answer may be late.
             async with asyncio.timeout(0.4 + 0.05):
                 assert await client.read_line() == b"FAILED\r\n"
             assert len(server.first_lines) == 1
@@ -231,8 +231,8 @@
     async def run_test() -> None:
         async with running_balancer(tmp_path, FakeServer("a")) as (balancer, _):
             silent, slow = await balancer.client(), await balancer.client()
-            pinged = await balancer.client()
-            pinged.send(b"PING\r\n")
+            pinging = await balancer.client()
+            pinging.send(b"PING\r\n")
 
             async def send_slowly() -> bytes:
                 for byte in b"OPEN 1 2 c=any,t=acme,d=100":
@@ -245,7 +245,7 @@
 
             async with asyncio.timeout(2.9):
                 for outcome in await asyncio.gather(
-                    silent.read_to_end(), pinged.read_to_end(), send_slowly(), return_exceptions=True
+                    silent.read_to_end(), pinging.read_to_end(), send_slowly(), return_exceptions=True
                 ):
                     assert isinstance(outcome, bytes | ConnectionResetError)
             balancer.process.send_signal(signal.SIGUSR1)
@@ -446,7 +446,7 @@
             late = await balancer.connect()
             times = sorted(await asyncio.gather(*move_tasks))
             assert await late.read_to_end() == b"MOVE\r\n"
-            assert times[0] > 1.0  # half of the longest deadline, 2 s
+            assert times[0] > 1.0  # seconds: half of the longest deadline, which is 2 s
             assert times[-1] - times[0] > 0.5  # not all at once
             assert times[-1] < 2.7  # from then on the process may be killed
             assert await balancer.stop() == 0
@@ -532,7 +532,7 @@
             first = await balancer.open(values=",h=10000")
             assert (await first.read_line()).startswith(b"UP ")
             first_server, other_server = servers if servers[0].first_lines else servers[::-1]
-            # In milliseconds: the server is overloaded, so its present sum becomes its limit.
+            # A delay of 30 ms: the server is overloaded, so its present load sum becomes its limit.
             first_server.streams[0][1].write(b"LOAD 30\r\n")
             assert await first.read_line() == b"LOAD 30\r\n"
             for _ in range(3):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,7 +18,7 @@
             async with asyncio.timeout(10):
                 while not old.queries:
                     await asyncio.sleep(0.01)
-            old.version = 900  # the new service has versions of its own, which are lower
+            old.version = 900  # higher than the versions of the new services
             established = [await program.connect() for _ in range(6)]
             for number in range(3):  # repeatedly, while clients connect
                 other = FakeDiscovery(servers)
@@ -114,7 +114,7 @@
             await new.start()
             new.states["b"] = "Terminating"
             await program.reload(program.config_with_discovery(new))
-            async with asyncio.timeout(4):  # after this its updates count as delivered to the balancer
+            async with asyncio.timeout(4):  # then the balancer counts as knowing the list
                 await program.wait_for_log("server b draining")
 
     asyncio.run(run())
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_the_list_is_watched_from_the_start_even_if_it_is_pushed(tmp_path: Path, mode: str) -> None:
-    """Pushed lists once never reached a balancer whose decision module does not request watches."""
+    """With pushed lists the decision module requests no watch; the balancer must watch all the same."""
 
     async def run() -> None:
         deployment_settings = settings(Discovery=mode)
@@ -140,8 +140,8 @@
 
 
 def test_idle_clients_that_use_up_descriptors_do_not_block_discovery(tmp_path: Path) -> None:
-    """Idle clients take all descriptors while discovery fails; it still gets its own when it answers again,
-    and after SIGHUP."""
+    """Idle clients take all descriptors while discovery fails; the balancer must still reach discovery when
+    it answers again, and at a new address after SIGHUP."""
     sockets = 96
 
     async def run() -> None:
@@ -161,7 +161,7 @@
                     except OSError:
                         await asyncio.sleep(0.01)
 
-            crowd = [asyncio.create_task(idle()) for _ in range(2 * sockets)]
+            idle_clients = [asyncio.create_task(idle()) for _ in range(2 * sockets)]
             descriptors = Path(f"/proc/{program.process.pid}/fd")
             async with asyncio.timeout(10):
                 while len(list(descriptors.iterdir())) < 0.8 * sockets:
@@ -175,9 +175,9 @@
             await program.wait_for_log("server c draining")
             assert (await program.connect()).up_line.startswith(b"UP a-")
             filling = False
-            for each in crowd:
+            for each in idle_clients:
                 each.cancel()
-            await asyncio.wait(crowd)
+            await asyncio.wait(idle_clients)
             await other.close()
 
     asyncio.run(run())
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,7 @@
-"""The variants of customers' sites, and the script that creates sites from them, on a made-up site."""
+"""`deploy/sites`: variants of customers' site files, and the script that creates a site from a variant.
+
+The customer's site here is invented.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,10 @@
 def run_script(
     path: Path, variant: str, site: str = SITE, with_companions: bool = True
 ) -> tuple[int, str, str]:
-    """Create a site in `path` by the script; return its exit status, output and errors."""
+    """Create a site in `path` by the script; return its exit status, output and errors.
+
+    Companions are the files that have to lie beside the customer's site file.
+    """
     (path / "customer").mkdir()
     (path / "customer" / "site.toml").write_text(site)
     for name in ("real.json", "wire.json", "unlock.txt") if with_companions else ():
