--- a/switchhub/decision/facade.py
+++ b/switchhub/decision/facade.py
@@ -240,7 +240,7 @@
         self._handle(now, api.DrainEnded())
 
     def discovery_changed(self, now: float) -> None:
-        """Discovery has another address from now on."""
+        """The address of discovery has changed."""
         self._handle(now, api.DiscoveryChanged())
 
     def _must_report_delay(self, now: float, server: str, delay: float) -> bool:
--- a/switchhub/decision/interface.py
+++ b/switchhub/decision/interface.py
@@ -340,7 +340,7 @@
 
 
 class Move(NamedTuple):
-    """Close an open connection after its client was told to connect anew."""
+    """Tell the client of an open connection to reconnect, then close it."""
 
     request: str
 
--- a/switchhub/handover/channel.py
+++ b/switchhub/handover/channel.py
@@ -16,7 +16,7 @@
 
 from switchhub.handover.messages import MAX_MESSAGE_BYTES
 
-MAX_SOCKETS_PER_MESSAGE = 2
+MAX_SOCKETS_PER_MESSAGE = 2  # a client's socket and its server's
 _PEER_CREDENTIALS = struct.Struct("3i")  # Linux `struct ucred`: process id, user id, group id
 _TOO_MANY_IN_FLIGHT = (errno.ETOOMANYREFS, errno.ENOBUFS)  # the kernel holds too many unreceived sockets
 
--- a/switchhub/handover/messages.py
+++ b/switchhub/handover/messages.py
@@ -38,9 +38,9 @@
 
 from switchhub.decision.interface import LearnedServer, LearnedState, Request
 
-PROTOCOL_VERSION = 1
-CONNECTIONS_PER_MESSAGE = 64
-MAX_MESSAGE_BYTES = 1 << 17
+PROTOCOL_VERSION = 1  # field `form`; processes of different versions do not join
+CONNECTIONS_PER_MESSAGE = 64  # connections in one `held` message
+MAX_MESSAGE_BYTES = 1 << 17  # of one message as received
 
 
 class MessageError(ValueError):
--- a/switchhub/handover/receiver.py
+++ b/switchhub/handover/receiver.py
@@ -28,7 +28,7 @@
 
 # How long an old process whose listening socket can't be copied may take to answer before this process binds
 # the address itself; also how long to wait for what the old process knows.
-ANSWER_TIMEOUT_S = 2.0
+ANSWER_TIMEOUT_S = 2.0  # time in which the old process must answer, and then send its state
 
 
 class HandoverReceiver:
--- a/switchhub/handover/sender.py
+++ b/switchhub/handover/sender.py
@@ -1,7 +1,7 @@
 """The older process's side of a handover: listens for newer processes and passes connections on to them.
 
 Owns: the listening Unix socket and its file, the links to newer processes. Must never: pass a connection on
-before this process was told to stop, or remove a file that is not its own.
+before this process has begun to stop, or remove a file that is not its own.
 
 All processes of a balancer use the same Unix socket path, and the newest one listens there. A process that
 accepts checks who listens at the path, and joins that process if it is newer. Without this, a process whose
--- a/switchhub/net/line_socket.py
+++ b/switchhub/net/line_socket.py
@@ -103,7 +103,7 @@
                 self._silent_clients if line_socket in self._silent_clients else self._ending_connections
             ).pop(line_socket)
             if not timeout.expired():
-                # If it was read from now on and then cancelled, the bytes read would be lost.
+                # Otherwise its task could read bytes before the time-out cancels it, and these would be lost.
                 loop.remove_reader(line_socket.sock)
                 timeout.reschedule(now)
                 released += 1
--- a/tests/test_candidate_filters.py
+++ b/tests/test_candidate_filters.py
@@ -341,7 +341,7 @@
 
 
 def test_all_balancers_together_raise_a_limit_by_one_connection_a_second() -> None:
-    """With fifteen balancers, each of them used to give an overloaded server one more connection a second."""
+    """Fifteen balancers must not give an overloaded server fifteen more connections a second."""
 
     def taken(fleet_size: int) -> int:
         driver = BalancerDriver(make_settings(zone=9, fleet_size=fleet_size))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,6 +1,7 @@
 """Leases: exhaustive exploration of small systems, classes that lack one safeguard, and single messages.
 
-The explorer runs three voters and two candidates through every order of events within a budget of faults.
+The explorer runs three voters and two candidates through every order of events within a budget of faults: how
+often each kind of fault may occur, and in which steps (`window`). `Duties` describes the kinds.
 Each safeguard is then removed in a subclass, and the explorer has to find the fault that it prevents.
 """
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -236,7 +236,7 @@
 
 
 def test_many_small_hints_do_not_get_round_the_cold_budget() -> None:
-    """Only small hints used to fit into the budget, and many of them overloaded a cold server."""
+    """If small hints count as they are, only they fit into the budget, and many overload a cold server."""
     driver = BalancerDriver(make_settings(zone=9))
     driver.update_server_list(make_server("a"), make_server("b"))
     for name in "ab":
