--- a/switchhub/management/server.py
+++ b/switchhub/management/server.py
@@ -28,13 +28,15 @@
 from switchhub.net.config import Address, ConfigError
 
 MAX_CONNECTIONS = 48  # connections open at a time
-ACCEPT_BATCH = 32  # connections accepted per interval; an idle one stays open for 15 ms at least
-ACCEPT_INTERVAL_S = 0.01
+# Connections accepted per interval. At this rate it takes 15 ms to replace `MAX_CONNECTIONS`, so even an idle
+# connection stays open that long.
+ACCEPT_BATCH = 32
+ACCEPT_INTERVAL_S = 0.01  # interval in which one batch is accepted
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 8  # the connections, the listening socket, one being accepted
 LISTEN_BACKLOG = 512  # connections
 REQUEST_TIMEOUT_S = 6.0  # time within which a request's head must be complete
 DISCARD_TIMEOUT_S = 0.5  # how long bytes after an answered head are read and discarded
-HEAD_MAX_BYTES = 8192
+HEAD_MAX_BYTES = 8192  # bytes received after which a head that is not complete counts as too long
 DISCARD_MAX_BYTES = 65536  # bytes after an answered head that are read and discarded
 READ_SIZE_BYTES = 4096
 ACCEPT_RETRY_S = 0.02  # pause after accept failed, for example for lack of descriptors
@@ -73,10 +75,10 @@
             pass  # answered like any other request, without a change of protocol
         except httptools.HttpParserError as error:
             if not self._head.complete:
-                return Response(400, f"malformed HTTP request: {error}\n")
+                return Response(400, f"not a call: {error}\n")
         if self._head.complete:
             return handle_request(self._balancer, *self._method_and_target())
-        return Response(431, "request head too long\n") if self._bytes_read > HEAD_MAX_BYTES else None
+        return Response(431, "the call's head is too long\n") if self._bytes_read > HEAD_MAX_BYTES else None
 
     def _method_and_target(self) -> tuple[str, str]:
         return self._parser.get_method().decode("latin-1"), self._head.target.decode("latin-1")
