--- a/switchhub/cli.py
+++ b/switchhub/cli.py
@@ -1,9 +1,7 @@
-"""The command line beyond `python -m switchhub` alone, which starts the platform's balancer and never comes
-here.
+"""Sub-commands of `python -m switchhub`; without one, `switchhub/__main__.py` starts a balancer instead.
 
-Owns: the sub-commands' arguments and their exit status: 0, 1 (a rule broken, a difference that was asked
-about), 2 (wrong use, a file that does not serve). Must never: import a sub-command's libraries before it is
-called.
+Exit status: 0; 1 for a violated rule, or a difference found by a comparison; 2 for wrong usage or an invalid
+file. Each sub-command's module, and so its libraries, is imported only when the sub-command runs.
 """
 
 from __future__ import annotations
@@ -15,7 +13,7 @@
 
 from loguru import logger
 
-COMMANDS = {  # its module, and where its libraries are named
+COMMANDS = {  # sub-command: its module, and the file that lists its libraries
     "lab": ("switchhub.lab.cli", "requirements-lab.txt"),
     "check": ("switchhub.operator_file", "requirements-peers.txt"),
     "members": ("switchhub.peers.cli", "requirements-peers.txt"),
@@ -24,11 +22,11 @@
 }
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m switchhub",
         description="Without arguments: start the balancer that BALANCER_CONFIG describes. With --operator "
-        "FILE: one that does what this file allows.",
+        "FILE: with the optional features that this file enables.",
         epilog="Examples:\n"
         "  python -m switchhub lab check lab/scenarios/calm.toml\n"
         "  python -m switchhub lab run lab/scenarios/hang.toml --seed 3 --json out.json\n"
@@ -38,19 +36,25 @@
         "  python -m switchhub lab table --seeds 1..5 --policies design,plain,oracle",
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    parser.add_argument("--log-json", action="store_true", help="log lines as JSON, one object a line")
+    parser.add_argument(
+        "--log-json", action="store_true", help="write log lines as JSON, one object per line"
+    )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     commands.add_parser(
-        "lab", help="play scenarios: a fleet in virtual time or on real sockets", add_help=False
+        "lab", help="run scenarios: balancers and servers in virtual time or on real sockets", add_help=False
+    )
+    commands.add_parser("check", help="report all faults of an operator file", add_help=False)
+    commands.add_parser(
+        "lease",
+        help="leases, each held by one balancer at a time: list, hold, release, hand on",
+        add_help=False,
     )
-    commands.add_parser("check", help="say what is wrong with an operator file", add_help=False)
-    commands.add_parser("lease", help="duties that only one may hold: list, hold, release", add_help=False)
-    commands.add_parser("leases", help="HOST:PORT: the same as lease list --via HOST:PORT", add_help=False)
-    commands.add_parser("members", help="who is there, as one balancer sees it", add_help=False)
+    commands.add_parser("leases", help="HOST:PORT: short for lease list --via HOST:PORT", add_help=False)
+    commands.add_parser("members", help="members of the cluster, as one balancer sees them", add_help=False)
     return parser
 
 
-def _log(as_json: bool) -> None:
+def _configure_logging(as_json: bool) -> None:
     logger.remove()
     logger.add(
         sys.stderr,
@@ -63,18 +67,20 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run a sub-command; its exit status."""
-    told, rest = _parser().parse_known_args(arguments)
-    _log(told.log_json)
-    module, listed = COMMANDS[told.command]
+    """Run a sub-command and return its exit status."""
+    options, remaining = _build_parser().parse_known_args(arguments)
+    _configure_logging(options.log_json)
+    module, requirements = COMMANDS[options.command]
     try:
         command = importlib.import_module(module)
     except ModuleNotFoundError as error:
         if (error.name or "").startswith("switchhub"):
             raise
-        needs = f"{told.command} needs its libraries: pip install -r {listed} (no {error.name})"
-        print(f"switchhub: {needs}", file=sys.stderr)
+        message = (
+            f"{options.command} needs its libraries: pip install -r {requirements} ({error.name} is missing)"
+        )
+        print(f"switchhub: {message}", file=sys.stderr)
         return 2
-    if told.command == "leases":
-        rest = ["list", "--via", *rest]
-    return int(command.main(rest))
+    if options.command == "leases":
+        remaining = ["list", "--via", *remaining]
+    return int(command.main(remaining))
