--- a/switchhub/lab/timeline.py
+++ b/switchhub/lab/timeline.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import NamedTuple
 
-from switchhub.lab.scenario import Scenario, Trouble, matching, targets
+from switchhub.lab.scenario import Scenario, Trouble, matching_names, possible_targets
 
 FOREVER = 1e9
 
@@ -26,7 +26,7 @@
     trouble: str
 
 
-class Change(NamedTuple):
+class IntervalChange(NamedTuple):
     """An interval begins or ends."""
 
     at: float
@@ -34,13 +34,13 @@
     interval: Interval
 
 
-class Heard(NamedTuple):
+class DiscoveryUpdate(NamedTuple):
     """What discovery knows of a server from a moment on."""
 
     at: float
     server: str
     state: str
-    born: float
+    started_at: float
 
 
 @dataclass(slots=True)
@@ -49,21 +49,21 @@
 
     intervals: list[Interval]
     seconds: float
-    changes: list[Change] = field(default_factory=list)
+    changes: list[IntervalChange] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Sort what begins and ends."""
         self.changes = sorted(
-            [Change(each.start, True, each) for each in self.intervals]
-            + [Change(each.end, False, each) for each in self.intervals if each.end < FOREVER],
+            [IntervalChange(each.start, True, each) for each in self.intervals]
+            + [IntervalChange(each.end, False, each) for each in self.intervals if each.end < FOREVER],
             key=lambda change: (change.at, change.begins, change.interval),
         )
 
-    def of(self, *effects: str) -> list[Interval]:
+    def with_effects(self, *effects: str) -> list[Interval]:
         """The intervals of these effects, by their starts."""
         return sorted(each for each in self.intervals if each.effect in effects)
 
-    def active(self, effect: str, target: str, at: float) -> bool:
+    def is_active(self, effect: str, target: str, at: float) -> bool:
         """Whether the effect meets the target then."""
         return any(
             each.start <= at < each.end
@@ -71,7 +71,7 @@
             if each.effect == effect and each.target == target
         )
 
-    def surge(self, at: float) -> float:
+    def arrival_factor(self, at: float) -> float:
         """By how much arrivals are multiplied then."""
         factor = 1.0
         for each in self.intervals:
@@ -80,51 +80,53 @@
         return factor
 
 
-def _met(scenario: Scenario, trouble: Trouble, rng: Random) -> list[str]:
-    names = matching(targets(scenario, trouble), trouble.meets)
+def _choose_targets(scenario: Scenario, trouble: Trouble, rng: Random) -> list[str]:
+    names = matching_names(possible_targets(scenario, trouble), trouble.meets)
     count = round(trouble.part * len(names))
     chosen = set(rng.sample(names, count))
     return [name for name in names if name in chosen]
 
 
-def _expand(scenario: Scenario, trouble: Trouble, rng: Random) -> list[Interval]:
+def _expand_trouble(scenario: Scenario, trouble: Trouble, rng: Random) -> list[Interval]:
     start = trouble.at_s
     end = start + trouble.seconds if trouble.seconds else FOREVER
     name, kind = trouble.name, trouble.kind
     if kind.startswith("roster-") or kind in ("surge", "drop"):
         value = trouble.part if kind == "drop" else trouble.value
         return [Interval(start, start if kind == "drop" else end, kind, "", value, name)]
-    met = _met(scenario, trouble, rng)
-    out: list[Interval] = []
-    for index, each in enumerate(met):
-        begin = start + index * trouble.stride_s
+    target_names = _choose_targets(scenario, trouble, rng)
+    intervals: list[Interval] = []
+    for index, each in enumerate(target_names):
+        starts_at = start + index * trouble.stride_s
         if kind in ("rolling", "drain"):
-            gone = begin + trouble.drain_s
-            back = gone + trouble.down_s if kind == "rolling" else end
-            out.append(Interval(begin, gone, "drain", each, 0.0, name))
-            out.append(Interval(gone, max(back, gone), "die", each, 1.0, name))
+            stops_at = starts_at + trouble.drain_s
+            returns_at = stops_at + trouble.down_s if kind == "rolling" else end
+            intervals.append(Interval(starts_at, stops_at, "drain", each, 0.0, name))
+            intervals.append(Interval(stops_at, max(returns_at, stops_at), "die", each, 1.0, name))
         elif kind == "balancer-restart":
-            out.append(Interval(begin, begin + trouble.down_s, "balancer-restart", each, 0.0, name))
+            intervals.append(
+                Interval(starts_at, starts_at + trouble.down_s, "balancer-restart", each, 0.0, name)
+            )
         elif kind == "balancer-reload":
-            out.append(Interval(begin, begin, kind, each, 0.0, name))
+            intervals.append(Interval(starts_at, starts_at, kind, each, 0.0, name))
         else:
-            out.append(Interval(start, end, kind, each, trouble.value, name))
-    return out
+            intervals.append(Interval(start, end, kind, each, trouble.value, name))
+    return intervals
 
 
-def expand(scenario: Scenario, seed: int) -> Timeline:
+def expand_troubles(scenario: Scenario, seed: int) -> Timeline:
     """All intervals of a scenario; whom a part of the targets is, the seed decides."""
     intervals: list[Interval] = []
     for trouble in scenario.troubles:
-        intervals += _expand(scenario, trouble, Random(f"{seed}/trouble/{trouble.name}"))
+        intervals += _expand_trouble(scenario, trouble, Random(f"{seed}/trouble/{trouble.name}"))
     return Timeline(intervals, scenario.seconds)
 
 
-def dead_spans(timeline: Timeline, server: str) -> list[tuple[float, float]]:
+def downtimes(timeline: Timeline, server: str) -> list[tuple[float, float]]:
     """When the server does not run, overlapping troubles merged: it is back when the last of them has
     ended."""
     spans: list[tuple[float, float]] = []
-    for each in timeline.of("die"):
+    for each in timeline.with_effects("die"):
         if each.target != server:
             continue
         if spans and each.start <= spans[-1][1]:
@@ -134,33 +136,45 @@
     return spans
 
 
-def heard(scenario: Scenario, timeline: Timeline) -> list[Heard]:
+def discovery_updates(scenario: Scenario, timeline: Timeline) -> list[DiscoveryUpdate]:
     """What discovery comes to know, in order. A lying roster names the dead as ready."""
-    delay, notice = scenario.discovery.delay_s, scenario.discovery.notice_s
-    out: list[Heard] = []
+    delay_s, notice_s = scenario.discovery.delay_s, scenario.discovery.notice_s
+    updates: list[DiscoveryUpdate] = []
     for server in scenario.server_names():
-        spans = dead_spans(timeline, server)
-        for each in timeline.of("drain"):
+        spans = downtimes(timeline, server)
+        for each in timeline.with_effects("drain"):
             if each.target == server:
-                out.append(Heard(each.start + delay, server, "Terminating", 0.0))
+                updates.append(DiscoveryUpdate(each.start + delay_s, server, "Terminating", 0.0))
         for start, end in spans:
-            planned = any(each.end == start for each in timeline.of("drain") if each.target == server)
-            known = start + (delay if planned else notice)
-            lies = any(each.start <= known < each.end for each in timeline.of("roster-lying"))
-            if known < end + delay and not lies:
-                out.append(Heard(known, server, "Gone", 0.0))
+            was_draining = any(
+                each.end == start for each in timeline.with_effects("drain") if each.target == server
+            )
+            known_at = start + (delay_s if was_draining else notice_s)
+            hides_death = any(
+                each.start <= known_at < each.end for each in timeline.with_effects("roster-lying")
+            )
+            if known_at < end + delay_s and not hides_death:
+                updates.append(DiscoveryUpdate(known_at, server, "Gone", 0.0))
             if end < FOREVER:
-                out.append(Heard(end + delay, server, "Ready", end))
-    return sorted(out)
+                updates.append(DiscoveryUpdate(end + delay_s, server, "Ready", end))
+    return sorted(updates)
 
 
-def names_met(scenario: Scenario, timeline: Timeline) -> dict[str, int]:
+def count_targets(scenario: Scenario, timeline: Timeline) -> dict[str, int]:
     """How many targets each trouble meets, for the results; 0 is allowed and said."""
-    met = {each.name: 0 for each in scenario.troubles}
+    counts = {each.name: 0 for each in scenario.troubles}
     for each in scenario.troubles:
-        own = {one.target for one in timeline.intervals if one.trouble == each.name}
-        met[each.name] = len(own)
-    return met
-
-
-__all__ = ["FOREVER", "Change", "Heard", "Interval", "Timeline", "dead_spans", "expand"]
+        target_names = {interval.target for interval in timeline.intervals if interval.trouble == each.name}
+        counts[each.name] = len(target_names)
+    return counts
+
+
+__all__ = [
+    "FOREVER",
+    "DiscoveryUpdate",
+    "Interval",
+    "IntervalChange",
+    "Timeline",
+    "downtimes",
+    "expand_troubles",
+]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from switchhub.lab.faults.fleet import Plan, Record, play_all, read
-from switchhub.lab.faults.stage import PlanError
+from switchhub.lab.faults.fleet import Plan, Record, parse_plan, run_plans
+from switchhub.lab.faults.process_harness import PlanError
 
 MEMBERSHIP_PLANS: dict[str, tuple[int, *tuple[str, ...]]] = {
     "three of seven are killed": (7, "kill n0,n2,n4", "say n1,n3,n5,n6 n0,n2,n4 dead 4", "agree 4"),
@@ -159,7 +159,7 @@
 
 def details(record: Record) -> object:
     """What an assertion shows about a failed run."""
-    return record.plan, record.faults(), record.figures(), record.logs
+    return record.plan, record.violations(), record.statistics(), record.logs
 
 
 @pytest.mark.parametrize("at", range(0, len(MEMBERSHIP_PLANS), PLANS_AT_ONCE))
@@ -168,8 +168,8 @@
         Plan(count, tuple(steps))
         for count, *steps in list(MEMBERSHIP_PLANS.values())[at : at + PLANS_AT_ONCE]
     ]
-    for record in play_all(plans, PLANS_AT_ONCE):
-        assert not record.faults(), details(record)
+    for record in run_plans(plans, PLANS_AT_ONCE):
+        assert not record.violations(), details(record)
 
 
 ALL_LEASE_PLANS = [
@@ -183,8 +183,8 @@
 
     Only the plan that halts a holder between check and effect may produce effects that are refused by token.
     """
-    for record in play_all(ALL_LEASE_PLANS[at : at + PLANS_AT_ONCE], PLANS_AT_ONCE):
-        assert not record.faults() and len(record.effects) > 50, details(record)
+    for record in run_plans(ALL_LEASE_PLANS[at : at + PLANS_AT_ONCE], PLANS_AT_ONCE):
+        assert not record.violations() and len(record.effects) > 50, details(record)
         assert bool(record.refused) is ("halt @d" in record.plan), details(record)
 
 
@@ -220,10 +220,12 @@
 def test_live_plans_detect_broken_variants(mutant: str, plan: Plan, monkeypatch: pytest.MonkeyPatch) -> None:
     """A plan passes with the real program and fails with one class replaced by a broken variant."""
     monkeypatch.setenv("LAB_MUTANT", mutant)
-    intact, broken = play_all([plan, replace(plan, launch="tests.lab.start_mutant")], 2)
-    assert not intact.faults(), details(intact)
-    assert not any("traceback" in each for each in broken.faults()), details(broken)
-    assert broken.faults() or (broken.buried() and not intact.buried()), details(broken)
+    intact, broken = run_plans([plan, replace(plan, launch="tests.lab.start_mutant")], 2)
+    assert not intact.violations(), details(intact)
+    assert not any("traceback" in each for each in broken.violations()), details(broken)
+    assert broken.violations() or (broken.death_declarations() and not intact.death_declarations()), details(
+        broken
+    )
 
 
 def test_lease_with_two_slots_never_has_three_holders() -> None:
@@ -232,15 +234,15 @@
         "duty * r", "busy r 2 10", "kill @r", "500", "busy r 2 6", "stop @r", "1500", "busy r 2 6",
         "cut @r *", "1500", "busy r 2 6", "heal", "1000", "busy r 2 6",
     )  # fmt: skip
-    (record,) = play_all([Plan(6, steps, voters=3, counted={"r": 2})], 1)
-    assert not record.faults() and len(record.effects) > 50, details(record)
+    (record,) = run_plans([Plan(6, steps, voters=3, counted={"r": 2})], 1)
+    assert not record.violations() and len(record.effects) > 50, details(record)
     assert {lease for _, lease, _, _ in record.effects} == {"r#0", "r#1"}
 
 
 def test_terminated_fault_run_leaves_no_process_behind(tmp_path: Path) -> None:
     """SIGTERM to the lab must end its balancers too: 30 of them once outlived a search for failing plans."""
     path = tmp_path / "plan.toml"
-    path.write_text(Plan(3, ("60000",), name="long").toml(), encoding="utf-8")
+    path.write_text(Plan(3, ("60000",), name="long").to_toml(), encoding="utf-8")
     command = [sys.executable, "-m", "switchhub", "lab", "faults", "run", str(path)]
     lab = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     children = Path(f"/proc/{lab.pid}/task/{lab.pid}/children")
@@ -258,8 +260,8 @@
 
 
 def test_balancers_serve_while_seeds_are_down_and_join_later() -> None:
-    (record,) = play_all([SEEDS_DOWN_AT_START], 1)
-    assert not record.faults(), details(record)
+    (record,) = run_plans([SEEDS_DOWN_AT_START], 1)
+    assert not record.violations(), details(record)
 
 
 def test_full_partition_passes_no_bytes() -> None:
@@ -268,8 +270,8 @@
     An address other than that of the rig's proxy would let bytes bypass the partition.
     """
     plan = Plan(5, ("cut * *", "none * datagrams_in", "2000", "view * alone 6"))
-    (record,) = play_all([plan], 1)
-    assert not record.faults(), details(record)
+    (record,) = run_plans([plan], 1)
+    assert not record.violations(), details(record)
     last_counts = {name: status["counts"] for _, name, status in record.said}
     for name, counts in last_counts.items():
         passed = sum(size for link, size in record.passed.items() if link.endswith(f">{name}"))
@@ -279,17 +281,21 @@
 def test_record_reports_deaths_without_a_cause() -> None:
     """The checker itself: a death in the log is a violation unless a fault was injected before it."""
     record = Record("", balancers=3, effects=[(1.0, "d", 1, "n0"), (1.1, "d", 2, "n1"), (1.2, "d", 1, "n0")])
-    assert record.faults() == ["d: 1 effects under a spent token, the first (1.2, 'effect', 'd', 1, 'n0')"]
+    assert record.violations() == [
+        "d: 1 effects under a spent token, the first (1.2, 'effect', 'd', 1, 'n0')"
+    ]
     record.effects[-1] = (1.2, "d", 2, "n0")
-    assert record.faults() == ["d: token 2 was n1's and n0's"]
+    assert record.violations() == ["d: token 2 was n1's and n0's"]
     line = "   5.000 05:00 INFO peers: n1 alive -> dead (incarnation 0): suspected for 1.0 s"
     record = Record("", balancers=3, logs={"n0": [line]}, done=[(1.0, "agree 3")])
-    assert record.faults() == ["n0 buried n1 at 5.00, and nothing had been done to either"]
+    assert record.violations() == [
+        "n0 declared n1 dead at 5.00 s, although no fault had been injected at either"
+    ]
     record.done.append((2.0, "stop n1"))
-    assert not record.faults()
+    assert not record.violations()
     record.done[:] = [(2.0, "cut n1 n2"), (2.5, "heal")]
     record.logs["n0"] = [line.replace("5.000", "30.000")]
-    assert record.faults()
+    assert record.violations()
 
 
 @pytest.mark.parametrize(
@@ -298,7 +304,7 @@
         ("balancers = 99\nsteps = []", "balancers = 99"),
         ("balancers = 3\nsteps = ['fly n0']", "steps[0] = 'fly n0'"),
         ("balancers = 3\nsteps = ['kill n7']", "n7"),
-        ("balancers = 3\nsteps = ['loss n0 n1']", "1 figures"),
+        ("balancers = 3\nsteps = ['loss n0 n1']", "1 arguments"),
         ("balancers = 3\nsteps = [1]", "a list of texts"),
         ("balancers = 3\nstep = []", "step: expected"),
         ("balancers = ", "plan: "),
@@ -306,13 +312,13 @@
 )
 def test_invalid_plans_are_rejected_in_one_line(text: str, expected_error: str) -> None:
     with pytest.raises(PlanError, match=r".+") as found:
-        read(text)
+        parse_plan(text)
     assert expected_error in str(found.value) and "\n" not in str(found.value)
 
 
 def test_plan_survives_writing_and_reading() -> None:
     plan = Plan(5, ("kill n0", "say -n0 n0 dead 3"), {"period_ms": 300}, False, "x")
-    assert read(plan.toml()) == plan
+    assert parse_plan(plan.to_toml()) == plan
 
 
 def test_without_operator_file_none_of_its_modules_are_imported() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,15 +13,15 @@
 DEAD, ALIVE = State.DEAD, State.ALIVE
 
 
-def run_until(world: World, condition: object, limit: float) -> float:
+def seconds_until(world: World, condition: object, limit: float) -> float:
     """Run the world until the condition holds; returns the seconds of virtual time that took."""
     started = world.now
     while not condition():  # type: ignore[operator]
         assert world.now < started + limit, {
             key: ({name: m.latest.state.name for name, m in each.members.items()}, each.view)
-            for key, each in world.all.items()
+            for key, each in world.nodes.items()
         }
-        world.run(world.now + 0.05)
+        world.run_until(world.now + 0.05)
     return world.now - started
 
 
@@ -38,18 +38,18 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_three_of_seven_crash_at_once_and_the_others_detect_it(seed: int) -> None:
     world = World(7, seed)
-    world.run(3.0)
+    world.run_until(3.0)
     world.kill("n1", "n3", "n5")
-    assert run_until(world, world.agreed, 3.0) > 0.5
+    assert seconds_until(world, world.agreed, 3.0) > 0.5
     assert not declared_dead(world, "n1", "n3", "n5")
-    run_until(world, lambda: all_sure(world), 2.0)
+    seconds_until(world, lambda: all_sure(world), 2.0)
 
 
 def test_half_of_forty_crash_at_once() -> None:
     world = World(40, 1)
-    world.run(2.0)
+    world.run_until(2.0)
     world.kill(*world.names[:20])
-    run_until(world, world.agreed, 6.0)
+    seconds_until(world, world.agreed, 6.0)
     assert not declared_dead(world, *world.names[:20])
     assert {each.view for each in world.living()} == {"doubtful"}
 
@@ -58,80 +58,80 @@
 def test_member_paused_for_ten_seconds_declares_nobody_dead_and_rejoins(seed: int) -> None:
     """On resuming it finds all acknowledgements overdue, while the others have declared it dead."""
     world = World(7, seed)
-    world.run(3.0)
+    world.run_until(3.0)
     world.pause("n2", 10.0)
-    world.run(12.9)
+    world.run_until(12.9)
     assert declared_dead(world) == {"n2"}
-    world.run(13.01)
-    run_until(world, world.agreed, 3.0)
+    world.run_until(13.01)
+    seconds_until(world, world.agreed, 3.0)
     assert declared_dead(world) == {"n2"} and not [
         s for s in world.seen if s.by == "n2" and s.change.after is DEAD
     ]
-    run_until(world, lambda: all_sure(world), 3.0)
+    seconds_until(world, lambda: all_sure(world), 3.0)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_members_rejoin_after_a_partition(seed: int) -> None:
     world = World(7, seed)
-    world.run(3.0)
+    world.run_until(3.0)
     minority = {"n0", "n1", "n2"}
-    world.cut = lambda src, dst: (src in minority) is not (dst in minority)
-    world.run(13.0)
-    assert all(world.all[name].view == "doubtful" for name in minority)
-    assert all(each.view == "sure" for name, each in world.all.items() if name not in minority)
-    world.cut = lambda src, dst: False
-    run_until(world, lambda: all_sure(world), 5.0)
+    world.is_cut = lambda src, dst: (src in minority) is not (dst in minority)
+    world.run_until(13.0)
+    assert all(world.nodes[name].view == "doubtful" for name in minority)
+    assert all(each.view == "sure" for name, each in world.nodes.items() if name not in minority)
+    world.is_cut = lambda src, dst: False
+    seconds_until(world, lambda: all_sure(world), 5.0)
 
 
 def test_partition_longer_than_the_retention_heals_through_the_seeds() -> None:
     world = World(7, 1, options=replace(Options(), retention=20.0))
-    world.run(2.0)
-    world.cut = lambda src, dst: (src in "n0n1n2") is not (dst in "n0n1n2")
-    world.run(60.0)
+    world.run_until(2.0)
+    world.is_cut = lambda src, dst: (src in "n0n1n2") is not (dst in "n0n1n2")
+    world.run_until(60.0)
     assert {len(each.members) for each in world.living()} == {2, 3}
-    world.cut = lambda src, dst: False
-    run_until(world, lambda: all_sure(world), 8.0)
+    world.is_cut = lambda src, dst: False
+    seconds_until(world, lambda: all_sure(world), 8.0)
 
 
 def test_all_start_at_once_while_the_only_seed_is_down() -> None:
     world = World(7, 1, joined=False)
-    for each in world.all.values():
+    for each in world.nodes.values():
         each._seeds = ("a-late",)
-    world.run(5.0)
+    world.run_until(5.0)
     assert {each.view for each in world.living()} == {"alone"}
     world.start("late", seeds=())
-    run_until(world, world.agreed, 3.0)
+    seconds_until(world, world.agreed, 3.0)
 
 
 def test_five_hundred_members_join_within_a_second() -> None:
     world = World(3, 1)
     for number in range(500):
-        world.run(1.0 + number / 500)
+        world.run_until(1.0 + number / 500)
         world.start(f"m{number}")
-    run_until(world, world.agreed, 20.0)
+    seconds_until(world, world.agreed, 20.0)
     assert not declared_dead(world)
 
 
 def test_rolling_restart() -> None:
     world = World(7, 1)
-    world.run(2.0)
+    world.run_until(2.0)
     for name in world.names:
         world.kill(name)
-        world.run(world.now + 0.3)
+        world.run_until(world.now + 0.3)
         world.start(name)
-        run_until(world, world.agreed, 3.0)
+        seconds_until(world, world.agreed, 3.0)
     assert not declared_dead(world)
-    assert all(each.incarnation >= 1 for each in world.all.values())
+    assert all(each.incarnation >= 1 for each in world.nodes.values())
 
 
 def test_member_restarted_at_another_address_keeps_its_name() -> None:
     world = World(5, 1)
-    world.run(2.0)
+    world.run_until(2.0)
     world.kill("n4")
-    world.run(6.0)
+    world.run_until(6.0)
     assert declared_dead(world) == {"n4"}
     restarted = world.start("n4", address="a-elsewhere")
-    run_until(world, world.agreed, 3.0)
+    seconds_until(world, world.agreed, 3.0)
     assert restarted.name == "n4" and restarted.incarnation >= 1
     assert {each.members["n4"].latest.address for each in world.living() if each is not restarted} == {
         "a-elsewhere"
@@ -142,48 +142,48 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_two_running_processes_of_one_name_are_renamed_and_stay_stable(seed: int) -> None:
     world = World(5, seed)
-    world.run(5.0)
+    world.run_until(5.0)
     second = world.start("n2", address="a-other")
-    run_until(world, world.agreed, 5.0)
-    first = world.all["n2"]
+    seconds_until(world, world.agreed, 5.0)
+    first = world.nodes["n2"]
     assert first.name == "n2" and second.name == f"n2~{second.instance_id:08x}"
     assert [seen.by for seen in world.seen if "two processes" in seen.change.why]
-    world.run(world.now + 2.0)
+    world.run_until(world.now + 2.0)
     world.seen.clear()
-    world.run(world.now + 30.0)
+    world.run_until(world.now + 30.0)
     assert not world.seen
     assert second.view == "doubtful"
 
 
 def test_two_processes_of_one_name_that_meet_after_a_partition_are_renamed() -> None:
     world = World(4, 2)
-    world.cut = lambda src, dst: ({src, dst} & {"other"}) != set() and "n3" not in (src, dst)
-    world.run(3.0)
+    world.is_cut = lambda src, dst: ({src, dst} & {"other"}) != set() and "n3" not in (src, dst)
+    world.run_until(3.0)
     world.start("n0", address="a-other", seeds=("n3",))
-    world.run(10.0)
-    world.cut = lambda src, dst: False
-    run_until(world, world.agreed, 8.0)
+    world.run_until(10.0)
+    world.is_cut = lambda src, dst: False
+    seconds_until(world, world.agreed, 8.0)
     assert len({each.name for each in world.living()}) == 5
 
 
 def test_leaving_is_not_a_failure_and_the_member_can_return() -> None:
     world = World(6, 1)
-    world.run(2.0)
-    world.all["n5"].leave(world.now)
-    world._after("n5")
-    run_until(world, world.agreed, 1.0)
-    world.run(world.now + 5.0)
+    world.run_until(2.0)
+    world.nodes["n5"].leave(world.now)
+    world._process_output("n5")
+    seconds_until(world, world.agreed, 1.0)
+    world.run_until(world.now + 5.0)
     states = {each.members["n5"].latest.state for each in world.living()}
     assert states == {State.LEFT} and not declared_dead(world) and all_sure(world)
     world.start("n5")
-    run_until(world, lambda: all_sure(world), 3.0)
+    seconds_until(world, lambda: all_sure(world), 3.0)
 
 
 def test_one_way_loss_between_two_members_is_bridged_by_indirect_pings() -> None:
     """Messages from n0 to n1 are lost, those from n1 to n0 arrive; nobody may be declared dead."""
     world = World(5, 1)
-    world.cut = lambda src, dst: (src, dst) == ("n0", "n1")
-    world.run(30.0)
+    world.is_cut = lambda src, dst: (src, dst) == ("n0", "n1")
+    world.run_until(30.0)
     assert not declared_dead(world)
 
 
@@ -193,13 +193,13 @@
     Its suspicions must not unsettle the others for long, and n0 itself must know that its view is unreliable.
     """
     world = World(5, 1)
-    world.run(2.0)
-    world.cut = lambda src, dst: src == "n0"
-    world.run(12.0)
-    assert {each.view for name, each in world.all.items() if name != "n0"} == {"sure"}
-    assert world.all["n0"].view in ("alone", "doubtful")
-    world.cut = lambda src, dst: False
-    run_until(world, lambda: all_sure(world), 5.0)
+    world.run_until(2.0)
+    world.is_cut = lambda src, dst: src == "n0"
+    world.run_until(12.0)
+    assert {each.view for name, each in world.nodes.items() if name != "n0"} == {"sure"}
+    assert world.nodes["n0"].view in ("alone", "doubtful")
+    world.is_cut = lambda src, dst: False
+    seconds_until(world, lambda: all_sure(world), 5.0)
 
 
 def test_three_groups_connected_by_one_member_each() -> None:
@@ -207,21 +207,21 @@
     group = {f"n{number}": number // 3 for number in range(9)}
     world = World(9, 1)
     bridges = {"n0", "n3", "n6"}
-    world.cut = lambda src, dst: group[src] != group[dst] and not (src in bridges and dst in bridges)
-    world.run(30.0)
-    world.cut = lambda src, dst: False
-    run_until(world, lambda: all_sure(world), 5.0)
+    world.is_cut = lambda src, dst: group[src] != group[dst] and not (src in bridges and dst in bridges)
+    world.run_until(30.0)
+    world.is_cut = lambda src, dst: False
+    seconds_until(world, lambda: all_sure(world), 5.0)
 
 
 def test_single_member_bridges_a_partition() -> None:
     world = World(7, 1)
     side = {name: int(name[1]) < 3 for name in world.names}
-    world.cut = lambda src, dst: side[src] is not side[dst] and "n6" not in (src, dst)
-    world.run(20.0)
-    assert {each.view for each in world.all.values()} <= {"sure", "doubtful"}
+    world.is_cut = lambda src, dst: side[src] is not side[dst] and "n6" not in (src, dst)
+    world.run_until(20.0)
+    assert {each.view for each in world.nodes.values()} <= {"sure", "doubtful"}
     world.seen.clear()
-    world.cut = lambda src, dst: False
-    run_until(world, lambda: all_sure(world), 5.0)
+    world.is_cut = lambda src, dst: False
+    seconds_until(world, lambda: all_sure(world), 5.0)
     assert not declared_dead(world)
 
 
@@ -233,44 +233,44 @@
 def test_link_that_drops_large_datagrams_causes_no_false_death() -> None:
     """Updates then spread by exchanges of the full member list only."""
     world = World(6, 1)
-    original_after = world._after
+    original_process_output = world._process_output
 
     def drop_large_datagrams(key: str) -> None:
-        member = world.all[key]
+        member = world.nodes[key]
         member.out = [
             each for each in member.out if not getattr(each.message, "updates", ()) or each.address != "a-n1"
         ]
-        original_after(key)
+        original_process_output(key)
 
-    world._after = drop_large_datagrams  # type: ignore[method-assign]
-    world.run(30.0)
+    world._process_output = drop_large_datagrams  # type: ignore[method-assign]
+    world.run_until(30.0)
     assert not declared_dead(world)
 
 
 def test_forged_incarnations_beyond_the_leap_limit_are_rejected() -> None:
     world = World(4, 1)
-    world.run(2.0)
+    world.run_until(2.0)
     for number in (MAX_INCARNATION, MAX_INCARNATION_LEAP + 1):
         for target in ("n0", "n1", "n2"):
             forged = MemberUpdate("n1", "a-n1", 7, number, State.DEAD, "n3")
             stranger = Source("x", "a-x", 1, 0, 0)
-            world.all[target].receive(world.now, Ping(0, stranger, "", (forged,)))
-            world._after(target)
-    world.run(3.0)
-    assert all(each.members["n1"].latest.state is ALIVE for name, each in world.all.items() if name != "n1")
-    assert world.all["n0"].counts["refused"] == 2
+            world.nodes[target].receive(world.now, Ping(0, stranger, "", (forged,)))
+            world._process_output(target)
+    world.run_until(3.0)
+    assert all(each.members["n1"].latest.state is ALIVE for name, each in world.nodes.items() if name != "n1")
+    assert world.nodes["n0"].counts["refused"] == 2
     # Within the limit the member refutes it with a higher incarnation.
     forged = MemberUpdate("n1", "a-n1", 7, MAX_INCARNATION_LEAP, State.SUSPECT, "n3")
-    world.all["n0"].receive(world.now, Ping(0, Source("x", "a-x", 1, 0, 0), "", (forged,)))
-    world._after("n0")
-    world.run(6.0)
-    assert world.all["n0"].members["n1"].latest.incarnation > MAX_INCARNATION_LEAP
-    assert world.all["n0"].members["n1"].latest.state is ALIVE
+    world.nodes["n0"].receive(world.now, Ping(0, Source("x", "a-x", 1, 0, 0), "", (forged,)))
+    world._process_output("n0")
+    world.run_until(6.0)
+    assert world.nodes["n0"].members["n1"].latest.incarnation > MAX_INCARNATION_LEAP
+    assert world.nodes["n0"].members["n1"].latest.state is ALIVE
 
 
 def test_number_of_remembered_members_is_bounded() -> None:
     world = World(3, 1)
-    member = world.all["n0"]
+    member = world.nodes["n0"]
     for number in range(6000):
         member.receive(world.now, Ping(0, Source(f"x{number}", f"a-x{number}", 1, 0, 0), "", ()))
         member.out.clear()
@@ -284,25 +284,25 @@
     Without extra time the member would be suspected before indirect pings are answered.
     """
     world = World(5, 3)
-    world.run(2.0)
-    member = world.all["n0"]
+    world.run_until(2.0)
+    member = world.nodes["n0"]
     for _ in range(20):
         due = member.deadline()
-        world.run(due - 1e-4)
+        world.run_until(due - 1e-4)
         world.pause("n0", 0.2)
-        world.run(world.now + 0.5)
+        world.run_until(world.now + 0.5)
     assert not [seen for seen in world.seen if seen.by == "n0" and seen.change.after is State.SUSPECT]
 
 
 def test_clocks_that_drift_by_five_percent() -> None:
     world = World(6, 1)
-    world.run(1.0)
+    world.run_until(1.0)
     world = World(6, 1, joined=False)
     for number, name in enumerate(world.names):
-        world.drift[name] = 0.95 + 0.02 * number
+        world.clock_rates[name] = 0.95 + 0.02 * number
         world.start(name)
-    run_until(world, world.agreed, 5.0)
-    world.run(30.0)
+    seconds_until(world, world.agreed, 5.0)
+    world.run_until(30.0)
     assert not declared_dead(world)
 
 
@@ -329,20 +329,20 @@
 def test_broken_variants_fail() -> None:
     """Each variant lacks one safeguard, and the faults of the tests above must reveal it."""
     world = World(10, 1, make=NeverRefutes, loss=0.3)
-    world.run(60.0)
+    world.run_until(60.0)
     assert declared_dead(world)
     world = World(7, 1, make=NeverReconnects)
-    world.run(2.0)
-    world.cut = lambda src, dst: (src in "n0n1n2") is not (dst in "n0n1n2")
-    world.run(12.0)
-    world.cut = lambda src, dst: False
-    world.run(20.0)
+    world.run_until(2.0)
+    world.is_cut = lambda src, dst: (src in "n0n1n2") is not (dst in "n0n1n2")
+    world.run_until(12.0)
+    world.is_cut = lambda src, dst: False
+    world.run_until(20.0)
     assert not world.agreed()
     assert quiet(10, 1, 60.0, make=NoTimeToRefute, loss=0.3)["buried"] > 0
     world = World(7, 1, make=IgnoresPauses)
-    world.run(3.0)
+    world.run_until(3.0)
     # It suspects a member, is paused, and on resuming declares it dead before it reads the refutation.
-    member = world.all["n2"]
+    member = world.nodes["n2"]
     known = member.members["n4"].latest
     member._apply(
         MemberUpdate(known.name, known.address, known.instance_id, known.incarnation, State.SUSPECT, "n2"),
@@ -357,8 +357,8 @@
 def test_same_seed_gives_same_record() -> None:
     def record() -> list[object]:
         world = World(12, 7, loss=0.2, slow=0.2)
-        world.run(20.0)
-        return [world.seen, world.sent, world.bytes]
+        world.run_until(20.0)
+        return [world.seen, world.datagrams_sent, world.datagram_bytes]
 
     assert record() == record()
 
@@ -375,12 +375,12 @@
     """
     world = World(7, seed)
     sides = {"n0", "n1", "n2"}, {"n3", "n4", "n5"}
-    world.run(5.0)
-    world.cut = lambda src, dst: any(src in one and dst in other for one, other in (sides, sides[::-1]))
-    world.run(10.0)
+    world.run_until(5.0)
+    world.is_cut = lambda src, dst: any(src in one and dst in other for one, other in (sides, sides[::-1]))
+    world.run_until(10.0)
     checks = agreed = 0
     while world.now < 40.0:
-        world.run(world.now + 0.05)
+        world.run_until(world.now + 0.05)
         checks, agreed = checks + 1, agreed + world.agreed()
     assert agreed > 0.85 * checks
     assert len([each for each in world.seen if each.change.after is State.DEAD]) <= 2
