--- a/switchhub/lab/explorer.py
+++ b/switchhub/lab/explorer.py
@@ -1,7 +1,7 @@
-"""Every order of events of a small system: breadth first, so that what is found is found in the fewest steps.
+"""Breadth-first exploration of every state that a small system can reach (explicit-state model checking).
 
-Owns: the states met and the way to each. Must never: know what is explored, or call a search whole that met
-its bound.
+Breadth first, so that the trace to a violation has the fewest possible steps. The explorer knows nothing of
+the system explored, and reports a search as complete only if no bound stopped it.
 """
 
 from __future__ import annotations
@@ -14,96 +14,99 @@
     """One state of the system."""
 
     def key(self) -> Hashable:
-        """Equal for states that can't be told apart by anything that may still come."""
+        """Return a key that is equal for states whose possible futures are the same."""
         ...
 
     def violation(self) -> str | None:
-        """What is wrong with it, if anything."""
+        """Return the invariant that this state violates, or None."""
         ...
 
 
-AState = TypeVar("AState", bound=State)
+StateT = TypeVar("StateT", bound=State)
 
 
-class System(Protocol[AState]):
-    """What may happen."""
+class System(Protocol[StateT]):
+    """The transitions of the system explored."""
 
-    def initial_states(self) -> Iterable[tuple[str, AState]]:
-        """Where it may begin."""
+    def initial_states(self) -> Iterable[tuple[str, StateT]]:
+        """Yield each initial state with a name for it, which may be empty."""
         ...
 
-    def successors(self, state: AState) -> Iterable[tuple[str, AState]]:
-        """What may come next, each by a name."""
+    def successors(self, state: StateT) -> Iterable[tuple[str, StateT]]:
+        """Yield each state that may follow with its event's name; an empty name is left out of traces."""
         ...
 
 
-class Flies(Protocol):
-    """A state with messages on their way: steps until each arrives, its sender, the message."""
+class MessagePassingState(Protocol):
+    """A state with messages in flight: steps until each arrives, its sender, the message."""
 
     steps: int
-    flights: list[tuple[int, str, Any]]
+    in_flight: list[tuple[int, str, Any]]
 
-    def step(self, wrong: dict[int, str]) -> None:
-        """One step; what happens to the messages of these places."""
+    def step(self, message_faults: dict[int, str]) -> None:
+        """Advance by one step; `message_faults` maps places in `in_flight` to the fault of that message."""
         ...
 
 
-AFlies = TypeVar("AFlies", bound=Flies)
+MessagePassingStateT = TypeVar("MessagePassingStateT", bound=MessagePassingState)
 
 
 def successors_with_message_fault(
-    state: AFlies, kinds: Iterable[str], copy: Callable[[], AFlies]
-) -> Iterator[tuple[str, AFlies]]:
-    """The states after one step in which one message that is due meets one of these, each in turn."""
-    for what in kinds:
-        for at, (left, sender, send) in enumerate(state.flights):
-            if left == 0:
+    state: MessagePassingStateT, faults: Iterable[str], copy: Callable[[], MessagePassingStateT]
+) -> Iterator[tuple[str, MessagePassingStateT]]:
+    """Yield the states after one step in which one due message suffers one fault, for each such pair."""
+    for fault in faults:
+        for index, (steps_left, sender, outgoing) in enumerate(state.in_flight):
+            if steps_left == 0:
                 other = copy()
-                other.step({at: what})
-                kind = type(send.message).__name__
-                yield f"{state.steps}: {what} {kind} {sender} to {send.address}", other
+                other.step({index: fault})
+                message_type = type(outgoing.message).__name__
+                yield f"{state.steps}: {fault} {message_type} {sender} to {outgoing.address}", other
 
 
 class ExplorationResult(NamedTuple):
-    """What a search has found."""
+    """The outcome of a search."""
 
-    states: int
-    depth: int
-    complete: bool  # no state was left out
+    states: int  # distinct states reached
+    depth: int  # steps from the initial states
+    complete: bool  # every reachable state was visited, and no bound was met
     violation: str | None
-    trace: tuple[str, ...]  # events from the beginning to the fault
+    trace: tuple[str, ...]  # events from an initial state to the violation
 
 
-def explore(system: System[AState], max_states: int, max_depth: int) -> ExplorationResult:
-    """Search until a fault, the end, or a bound: so many states, so many steps."""
-    ways: dict[Hashable, tuple[Hashable, str]] = {}
-    layer: list[AState] = []
+def explore(system: System[StateT], max_states: int, max_depth: int) -> ExplorationResult:
+    """Search until the first violation, until all states are visited, or until a bound is met.
+
+    The bounds are checked after each layer, so that somewhat more than `max_states` states may be visited.
+    """
+    predecessors: dict[Hashable, tuple[Hashable, str]] = {}  # state -> state before it, event between them
+    layer: list[StateT] = []
     depth = 0
 
-    def way(key: Hashable) -> tuple[str, ...]:
+    def trace(key: Hashable) -> tuple[str, ...]:
         names: list[str] = []
-        while key in ways:
-            key, name = ways[key]
+        while key in predecessors:
+            key, name = predecessors[key]
             if name:
                 names.append(name)
         return tuple(reversed(names))
 
-    todo: list[tuple[Hashable, str, AState]] = [
+    pending: list[tuple[Hashable, str, StateT]] = [
         (None, name, state) for name, state in system.initial_states()
     ]
-    while todo:
+    while pending:
         layer = []
-        for before, name, state in todo:
+        for predecessor, name, state in pending:
             key = state.key()
-            if key in ways:
+            if key in predecessors:
                 continue
-            ways[key] = before, name
-            fault = state.violation()
-            if fault is not None:
-                return ExplorationResult(len(ways), depth, False, fault, way(key))
+            predecessors[key] = predecessor, name
+            violation = state.violation()
+            if violation is not None:
+                return ExplorationResult(len(predecessors), depth, False, violation, trace(key))
             layer.append(state)
-        if depth == max_depth or len(ways) > max_states:
-            return ExplorationResult(len(ways), depth, not layer, None, ())
-        todo = [(each.key(), name, state) for each in layer for name, state in system.successors(each)]
+        if depth == max_depth or len(predecessors) > max_states:
+            return ExplorationResult(len(predecessors), depth, not layer, None, ())
+        pending = [(each.key(), name, state) for each in layer for name, state in system.successors(each)]
         depth += 1
-    return ExplorationResult(len(ways), depth, True, None, ())
+    return ExplorationResult(len(predecessors), depth, True, None, ())
--- a/switchhub/lab/lease_model.py
+++ b/switchhub/lab/lease_model.py
@@ -1,10 +1,11 @@
-"""Leases of three voters and two candidates for the explorer: the real parts, and between them messages that
-are lost, doubled, overtaken and later than any lease, voters that restart and forget, candidates that stand
-still.
+"""Model of one lease with three voters and two candidates for the explorer.
 
-Owns: the model of what surrounds the parts, and true time. Must never: decide who holds. What each believes
-is looked at in each step, by the clock of each: a holder that stood still is looked at when it wakes, before
-it reads anything.
+Voters and candidates run the real `Voter` and `Proposer` code. The model supplies true time and what
+surrounds them: messages that are lost, duplicated, reordered or delayed beyond the end of any lease, voters
+that restart without their state, and candidates that are paused. It never decides who holds the lease.
+
+What each candidate believes is checked in every step by its own clock. A holder that was paused is checked
+when it resumes, before it reads any message, since it acts on its old belief until then.
 """
 
 from __future__ import annotations
@@ -21,21 +22,21 @@
 STEP = 0.0625  # seconds of true time
 VOTERS = ("v0", "v1", "v2")
 LEASE_CONFIG = LeaseConfig(VOTERS, length=1.0, max_length=1.0, margin=0.0625, transfer_reservation=0.25)
-LATE = 20  # steps that a message may be late: longer than any lease
-STANDS = 20  # steps that a candidate may stand still
-CUT = 1.9  # lengths of a lease that a cut lasts: a candidate not heard, or split off with one voter
-LAG = 14  # steps that what comes to a candidate takes, for two cuts' time
-REFILE = 20  # steps between two moments at which a voter may be started with another file
-FORGETS = (1, 6)  # steps that a voter is away before it is back and has forgotten
-AFTER = 34  # steps after the last trouble that are followed
+LATE_STEPS = 20  # steps that a late or duplicate message waits: longer than any lease
+PAUSE_STEPS = 20  # steps that a candidate is paused
+CUT_LEASE_LENGTHS = 1.9  # duration of a `mute` or a `split`, in lease lengths; a `lag` lasts twice as long
+LAG_STEPS = 14  # steps that a message to a lagging candidate takes
+RECONFIGURE_INTERVAL_STEPS = 20  # steps between two points at which a voter may restart with another config
+VOTER_DOWN_STEPS = (1, 6)  # steps that a voter is down before it is back without its state
+FOLLOW_UP_STEPS = 34  # steps explored after the last fault, per second of lease length
 LEASE = "duty"
-Flight = tuple[int, str, OutgoingMessage]
+InFlight = tuple[int, str, OutgoingMessage]  # steps until it arrives, sender, message
 MakeVoter = Callable[..., Voter]
 MakeProposer = Callable[..., Proposer]
 
 
 class LeaseState:
-    """One state."""
+    """One state: the voters, both candidates, the messages in flight and the remaining fault budget."""
 
     def __init__(
         self,
@@ -46,162 +47,189 @@
         config: LeaseConfig = LEASE_CONFIG,
         configs: dict[str, LeaseConfig] | None = None,
     ) -> None:
-        """`files` says which file a part has that has not `terms`; a voter that has one begins by it."""
-        self.steps = self.calm = 0
-        self.config, self.cut = config, int(CUT * config.length / STEP)
+        """Start all voters and both candidates.
+
+        Args:
+            budget: how often each kind of fault may still happen.
+            rates: clock rate of each process, as a multiple of true time.
+            make_voter: constructor of `Voter` or of a mutant.
+            make_proposer: constructor of `Proposer` or of a mutant.
+            config: the configuration of each process that is not in `configs`.
+            configs: other configurations by process; such a voter starts without knowing its former tokens,
+                and does not vote until it has recovered them.
+        """
+        self.steps = self.quiet_steps = 0
+        self.config, self.cut_steps = config, int(CUT_LEASE_LENGTHS * config.length / STEP)
         self.configs = configs or {}
-        self.ends: dict[tuple[str, str], int] = {}  # troubles of a candidate's links, until which step
+        self.link_faults: dict[tuple[str, str], int] = {}  # (kind, candidate) -> step at which it ends
         self.budget, self.rates = dict(budget), rates
         self.make_voter = make_voter
-        self.lives = 10
-        self.wrong: str | None = None
-        self.flights: list[Flight] = []
+        self.voters_started = 10
+        self.found_violation: str | None = None
+        self.in_flight: list[InFlight] = []
         names = sorted({*VOTERS, *(self.configs.keys() - {"a", "b"})})
         self.voters = {
             name: make_voter(
                 ProcessIdentity(name, 1, name),
-                self.file(name),
+                self.config_of(name),
                 self.clock(name),
                 None if name in self.configs else 0,
             )
             for name in names
         }
-        self.askers = {
-            name: make_proposer(ProcessIdentity(name, 1, name), self.file(name), number, self.clock(name))
+        self.proposers = {
+            name: make_proposer(
+                ProcessIdentity(name, 1, name), self.config_of(name), number, self.clock(name)
+            )
             for number, name in enumerate(("a", "b"))
         }
         for name, each in self.voters.items():
             each.is_voting = name not in self.configs
-        for name, each_ in self.askers.items():
-            each_.acquire(LEASE, self.clock(name))
-        self.askers["b"].wanted[LEASE].next_attempt_at += 2 * STEP
-        self.stands: dict[str, int] = {}  # candidates that stand still, until which step
-        self.away: dict[str, int] = {}  # voters that are away, until which step
-        self.token, self.holder = 0, ""  # of the last one that was seen to hold
+        for name, each_proposer in self.proposers.items():
+            each_proposer.acquire(LEASE, self.clock(name))
+        self.proposers["b"].wanted[LEASE].next_attempt_at += 2 * STEP
+        self.paused: dict[str, int] = {}  # candidate -> step at which it resumes
+        self.restarting: dict[str, int] = {}  # voter that is down -> step at which it is back
+        self.last_token, self.last_holder = 0, ""  # of the last candidate that was seen to hold
 
     def clock(self, name: str) -> float:
-        """Its own."""
+        """Return the time by the clock of this process, in seconds."""
         return self.steps * STEP * self.rates.get(name, 1.0)
 
-    def file(self, name: str) -> LeaseConfig:
-        """What its operator file says."""
+    def config_of(self, name: str) -> LeaseConfig:
+        """Return the configuration of this process."""
         return self.configs.get(name, self.config)
 
-    def refile(self, name: str, file: LeaseConfig) -> None:
-        """It is started again with another file."""
+    def reconfigure(self, name: str, config: LeaseConfig) -> None:
+        """Restart a voter with another configuration and without its state."""
         self.budget["refile"] -= 1
-        self.configs = {**self.configs, name: file}
-        self.away[name] = self.steps + 1
+        self.configs = {**self.configs, name: config}
+        self.restarting[name] = self.steps + 1
 
     def freeze(self) -> bytes:
-        """To tell states apart, and to copy them."""
+        """Return the state as bytes, by which states are compared and copied."""
         return pickle.dumps(self)
 
     def key(self) -> Hashable:
-        """Equal for equal states."""
+        """Return a hash that is equal for equal states."""
         return hash(self.freeze())
 
     def violation(self) -> str | None:
-        """What is wrong."""
-        return self.wrong
+        """Return the invariant that this state violates, or None."""
+        return self.found_violation
 
-    def step(self, wrong: dict[int, str]) -> None:
-        """One step; what happens to the messages of these places."""
+    def step(self, message_faults: dict[int, str]) -> None:
+        """Advance by one step; `message_faults` maps places in `in_flight` to the fault of that message."""
         self.steps += 1
-        self.calm = 0 if wrong else self.calm + 1
-        for name, until in list(self.away.items()):
-            if self.steps >= until:  # it has forgotten all
-                del self.away[name]
-                self.lives += 1
+        self.quiet_steps = 0 if message_faults else self.quiet_steps + 1
+        for name, until in list(self.restarting.items()):
+            if self.steps >= until:
+                del self.restarting[name]
+                self.voters_started += 1
                 self.voters[name] = self.make_voter(
-                    ProcessIdentity(name, self.lives, name), self.file(name), self.clock(name), None
+                    ProcessIdentity(name, self.voters_started, name),
+                    self.config_of(name),
+                    self.clock(name),
+                    None,
                 )
-        before, self.flights = self.flights, []
+        previously_in_flight, self.in_flight = self.in_flight, []
         due: list[tuple[str, OutgoingMessage]] = []
-        for at, (left, sender, send) in enumerate(before):
-            what = wrong.get(at)
-            if what in self.budget:
-                self.budget[what] -= 1
-            if self._cut(sender, send.address):
+        for index, (steps_left, sender, send) in enumerate(previously_in_flight):
+            fault = message_faults.get(index)
+            if fault in self.budget:
+                self.budget[fault] -= 1
+            if self._is_cut(sender, send.address):
                 continue
-            if send.address in self.stands:
-                self.flights.append((left, sender, send))  # it lies unread
-            elif left > 0 or what == "late":
-                self.flights.append((LATE if what == "late" else left - 1, sender, send))
-            elif what != "lose":
+            if send.address in self.paused:
+                self.in_flight.append((steps_left, sender, send))  # stays unread
+            elif steps_left > 0 or fault == "late":
+                self.in_flight.append((LATE_STEPS if fault == "late" else steps_left - 1, sender, send))
+            elif fault != "lose":
                 due.append((sender, send))
-                if what in ("double", "echoed"):
-                    self.flights.append((LATE, sender, send))
-        for name, until in list(self.stands.items()):
+                if fault in ("double", "echoed"):
+                    self.in_flight.append((LATE_STEPS, sender, send))
+        for name, until in list(self.paused.items()):
             if self.steps >= until:
-                del self.stands[name]  # it acts on what it believes before it reads
-        self._look()
+                del self.paused[name]  # checked below before it reads, as it acts on its old belief
+        self._check_holders()
         for _, (address, message) in due:
-            if address in self.away:
+            if address in self.restarting:
                 continue
-            part = self.voters.get(address) or self.askers[address]
-            part.receive(self.clock(address), message)
-        parts: dict[str, Voter | Proposer] = {**self.voters, **self.askers}
-        for name, part_ in parts.items():
-            if name in self.away or name in self.stands:
+            process = self.voters.get(address) or self.proposers[address]
+            process.receive(self.clock(address), message)
+        processes: dict[str, Voter | Proposer] = {**self.voters, **self.proposers}
+        for name, running_process in processes.items():
+            if name in self.restarting or name in self.paused:
                 continue
-            part_.turn(self.clock(name))
-            self.flights += [(self._lag(send.address), name, send) for send in part_.out]
-            part_.out.clear()
-        for asker in self.askers.values():
-            asker.events.clear()
+            running_process.turn(self.clock(name))
+            self.in_flight += [
+                (self._transit_steps(send.address), name, send) for send in running_process.out
+            ]
+            running_process.out.clear()
+        for proposer in self.proposers.values():
+            proposer.events.clear()
         for voter in self.voters.values():
             voter.log_lines.clear()
-        self._look()
+        self._check_holders()
 
-    def _cut(self, sender: str, to: str) -> bool:
-        for (what, name), until in self.ends.items():
-            if self.steps < until and what == "mute" and sender == name:
+    def _is_cut(self, sender: str, to: str) -> bool:
+        for (kind, name), until in self.link_faults.items():
+            if self.steps < until and kind == "mute" and sender == name:
                 return True
             if (
                 self.steps < until
-                and what == "split"
+                and kind == "split"
                 and (sender in (name, "v0")) is not (to in (name, "v0"))
             ):
                 return True
         return False
 
-    def _lag(self, to: str) -> int:
-        return LAG if self.steps < self.ends.get(("lag", to), 0) else 0
+    def _transit_steps(self, to: str) -> int:
+        return LAG_STEPS if self.steps < self.link_faults.get(("lag", to), 0) else 0
 
-    def trouble(self, what: str, name: str) -> None:
-        """Something befalls a candidate, or it is told to do something."""
-        self.budget[what] -= 1
-        asker, now = self.askers[name], self.clock(name)
-        if what == "stand":
-            self.stands[name] = self.steps + STANDS
-        elif what in ("mute", "split", "lag"):
-            self.ends[what, name] = self.steps + self.cut * (2 if what == "lag" else 1)
+    def apply_candidate_event(self, kind: str, name: str) -> None:
+        """Strike a candidate with a fault, or have it release or transfer the lease."""
+        self.budget[kind] -= 1
+        proposer, now = self.proposers[name], self.clock(name)
+        if kind == "stand":
+            self.paused[name] = self.steps + PAUSE_STEPS
+        elif kind in ("mute", "split", "lag"):
+            self.link_faults[kind, name] = self.steps + self.cut_steps * (2 if kind == "lag" else 1)
         else:
-            heir = "b" if name == "a" else "a"
-            asker.release(LEASE, now, *((heir, heir) if what == "pass" else ("", "")))
-            asker.acquire(LEASE, now if what == "again" else now + 0.5)
+            successor = "b" if name == "a" else "a"
+            proposer.release(LEASE, now, *((successor, successor) if kind == "pass" else ("", "")))
+            proposer.acquire(LEASE, now if kind == "again" else now + 0.5)
+
+    def _check_holders(self) -> None:
+        """Check that at most one candidate holds the lease and that tokens only rise from holder to holder.
 
-    def _look(self) -> None:
-        """No two hold at one moment; a token is above all before it. Who stands still does nothing."""
-        holds = {
+        A paused candidate does not act, so that it does not count as a holder.
+        """
+        held_tokens = {
             name: token
-            for name, asker in self.askers.items()
-            if name not in self.stands and (token := asker.held_token(LEASE, self.clock(name))) is not None
+            for name, proposer in self.proposers.items()
+            if name not in self.paused and (token := proposer.held_token(LEASE, self.clock(name))) is not None
         }
-        if len(holds) > 1:
-            self.wrong = f"both hold: {holds}"
-        for name, token in holds.items():
-            if token < self.token or (token == self.token and name != self.holder):
-                self.wrong = f"{name} holds token {token} after {self.holder} held {self.token}"
-            self.token, self.holder = token, name
+        if len(held_tokens) > 1:
+            self.found_violation = f"both hold the lease: tokens {held_tokens}"
+        for name, token in held_tokens.items():
+            if token < self.last_token or (token == self.last_token and name != self.last_holder):
+                self.found_violation = (
+                    f"{name} holds token {token} after {self.last_holder} held token {self.last_token}"
+                )
+            self.last_token, self.last_holder = token, name
 
 
 class LeaseModel:
-    """Every order of events within a budget: messages `lose`, `double`, `late`, an `echo` of all one says
-    in a step; a voter `forget`s; a candidate `stand`s still, is not heard (`mute`), is cut off with one voter
-    (`split`), hears late (`lag`), `release`s, does so and wants it `again` at once, or hands on (`pass`); a
-    voter is started again with another of the `choices` of files (`refile`), each `REFILE` steps."""
+    """Every order of events within a budget.
+
+    Faults of messages: `lose`, `double` (delivered twice, the second time late), `late`, and `echo` (all
+    messages of one candidate that are due in a step are duplicated). Faults of a voter: `forget` (restarts
+    without its state) and `refile` (restarts with another of `restart_configs`, every
+    `RECONFIGURE_INTERVAL_STEPS` steps). Faults and actions of a candidate: `stand` (paused), `mute` (its
+    messages are lost), `split` (cut off together with one voter), `lag` (messages to it are slow), `release`,
+    `again` (releases the lease and requests it at once), `pass` (transfers it to the other candidate).
+    """
 
     def __init__(
         self,
@@ -214,19 +242,22 @@
         configs: dict[str, LeaseConfig] | None = None,
         restart_configs: tuple[LeaseConfig, ...] = (),
     ) -> None:
-        """All that goes wrong begins in these steps. Without rates holders are as slow and voters as fast as
-        `MAX_CLOCK_DRIFT` allows."""
-        worst = {
+        """Begin all faults in the steps from `window[0]` until before `window[1]`.
+
+        Without `rates`, candidates' clocks are as slow and voters' clocks as fast as `MAX_CLOCK_DRIFT`
+        allows. This is the worst case: holders believe in a lease longest and voters expire it soonest.
+        """
+        worst_case_rates = {
             **dict.fromkeys(VOTERS, 1 + MAX_CLOCK_DRIFT),
             "a": 1 - MAX_CLOCK_DRIFT,
             "b": 1 - MAX_CLOCK_DRIFT,
         }
-        self._budget, self._window, self._rates = budget, window, worst if rates is None else rates
+        self._budget, self._window, self._rates = budget, window, worst_case_rates if rates is None else rates
         self._make_voter, self._make_proposer, self._config = make_voter, make_proposer, config
         self._configs, self._restart_configs = configs, restart_configs
 
     def initial_states(self) -> Iterator[tuple[str, LeaseState]]:
-        """Nobody holds, both want it."""
+        """Yield the one initial state: nobody holds the lease and both candidates want it."""
         yield (
             "",
             LeaseState(
@@ -235,53 +266,62 @@
         )
 
     def successors(self, state: LeaseState) -> Iterator[tuple[str, LeaseState]]:
-        """One step, with at most one thing going wrong in it."""
-        begins, ends = self._window
-        opens = begins <= state.steps < ends
-        follow = AFTER * self._config.length + max(
-            [0, *(until - state.steps for until in state.ends.values())]
+        """Yield the states after one step with at most one fault or action in it."""
+        window_start, window_end = self._window
+        in_window = window_start <= state.steps < window_end
+        follow_up_steps = FOLLOW_UP_STEPS * self._config.length + max(
+            [0, *(until - state.steps for until in state.link_faults.values())]
         )
-        if state.steps >= ends and state.calm > follow:
+        if state.steps >= window_end and state.quiet_steps > follow_up_steps:
             return
         frozen = state.freeze()
 
         def copy() -> LeaseState:
             other: LeaseState = pickle.loads(frozen)
-            other.calm = 0
+            other.quiet_steps = 0
             return other
 
-        if opens:
-            for name in state.askers:
-                for what in ("stand", "release", "again", "pass", "mute", "split", "lag"):
-                    if state.budget.get(what) and name not in state.stands:
+        if in_window:
+            for name in state.proposers:
+                for kind in ("stand", "release", "again", "pass", "mute", "split", "lag"):
+                    if state.budget.get(kind) and name not in state.paused:
                         other = copy()
-                        other.trouble(what, name)
+                        other.apply_candidate_event(kind, name)
                         other.step({})
-                        yield f"{state.steps}: {name} {what}s", other
+                        yield f"{state.steps}: candidate {name}: {kind}", other
             for name in state.voters:
-                for away in FORGETS if state.budget.get("forget") and name not in state.away else ():
+                for down_steps in (
+                    VOTER_DOWN_STEPS if state.budget.get("forget") and name not in state.restarting else ()
+                ):
                     other = copy()
                     other.budget["forget"] -= 1
-                    other.away[name] = state.steps + away
+                    other.restarting[name] = state.steps + down_steps
                     other.step({})
-                    yield f"{state.steps}: {name} forgets, back after {away}", other
-                files = (
-                    self._restart_configs if state.budget.get("refile") and state.steps % REFILE == 0 else ()
+                    yield (
+                        f"{state.steps}: voter {name} loses its state, back after {down_steps} steps",
+                        other,
+                    )
+                configs = (
+                    self._restart_configs
+                    if state.budget.get("refile") and state.steps % RECONFIGURE_INTERVAL_STEPS == 0
+                    else ()
                 )
-                for at, file in enumerate(files):
-                    if name not in state.away and file != state.file(name):
+                for index, config in enumerate(configs):
+                    if name not in state.restarting and config != state.config_of(name):
                         other = copy()
-                        other.refile(name, file)
+                        other.reconfigure(name, config)
                         other.step({})
-                        yield f"{state.steps}: {name} has file {at}", other
-            for name in state.askers if state.budget.get("echo") else ():
+                        yield f"{state.steps}: voter {name} restarts with config {index}", other
+            for name in state.proposers if state.budget.get("echo") else ():
                 other = copy()
                 other.budget["echo"] -= 1
-                other.step({at: "echoed" for at, flight in enumerate(state.flights) if flight[1] == name})
-                yield f"{state.steps}: an echo of all that {name} says", other
-            kinds = [kind for kind in ("lose", "double", "late") if state.budget.get(kind)]
-            yield from successors_with_message_fault(state, kinds, copy)
+                other.step(
+                    {index: "echoed" for index, message in enumerate(state.in_flight) if message[1] == name}
+                )
+                yield f"{state.steps}: all due messages of {name} are duplicated", other
+            faults = [fault for fault in ("lose", "double", "late") if state.budget.get(fault)]
+            yield from successors_with_message_fault(state, faults, copy)
         other = copy()
-        other.calm = state.calm
+        other.quiet_steps = state.quiet_steps
         other.step({})
         yield "", other
--- a/switchhub/lab/membership_model.py
+++ b/switchhub/lab/membership_model.py
@@ -1,9 +1,9 @@
-"""Membership of three or four for the explorer: the real cores, and between them datagrams that are lost,
-doubled, deferred, and processes that crash and come back, each anywhere within a budget.
+"""Model of a membership of three or four members for the explorer.
 
-Owns: the model of what surrounds the cores. Must never: decide who is there. A step is `STEP` seconds: what
-was sent in one is delivered in the next, in order, but for what the budget lets go wrong; then all look at
-the time.
+The members run the real `Membership` code. The model supplies what surrounds it: datagrams that are lost,
+duplicated or delayed, and processes that crash and return, each at any point within a budget. It makes no
+membership decision itself. A step lasts `STEP` seconds: a datagram sent in one step is delivered in the next,
+in order, unless a fault from the budget strikes it; then every member's timers run.
 """
 
 from __future__ import annotations
@@ -24,130 +24,144 @@
     full_state_interval=1e6,
     retention=1e6,
 )
-APART = (1, 5, 12, 40)  # steps between a crash and the return: before it is missed, suspected, buried
-LONG = 6  # steps that a datagram may be late
-SETTLED = 56  # steps after the last trouble in which all agree with what is
-Make = Callable[..., Membership]
-Flight = tuple[int, str, Send]  # steps until it arrives, sender, what
+# steps from a crash to the return: before a probe fails, before suspicion, before declared death, after it
+RETURN_DELAYS = (1, 5, 12, 40)
+LATE_STEPS = 6  # steps that a `late` datagram waits longer than a deferred one
+CONVERGENCE_STEPS = 56  # steps after the last fault by which all views must be right
+MakeMember = Callable[..., Membership]
+InFlight = tuple[int, str, Send]  # steps until it arrives, sender, datagram
 
 
 class MembershipState:
-    """One state."""
+    """One state: the members, the datagrams in flight and the remaining fault budget."""
 
-    def __init__(self, count: int, budget: dict[str, int], make: Make) -> None:
-        self.steps = self.calm = 0
+    def __init__(self, count: int, budget: dict[str, int], make_member: MakeMember) -> None:
+        self.steps = self.quiet_steps = 0
         self.budget = dict(budget)
-        self.make = make
-        self.wrong: str | None = None
+        self.make_member = make_member
+        self.found_violation: str | None = None
         self.down: str | None = None
-        self.crashed = ""
-        self.above: dict[str, int] = {}  # the incarnation that each had
-        self.lives = count
-        self.flights: list[Flight] = []
-        self.cores = {f"n{number}": self._new(f"n{number}", number + 1) for number in range(count)}
-        for each in self.cores.values():
-            for other in self.cores.values():
+        self.last_crashed = ""
+        self.last_incarnations: dict[str, int] = {}  # by member, to see that none is ever lowered
+        self.processes_started = count
+        self.in_flight: list[InFlight] = []
+        self.members = {f"n{number}": self._start(f"n{number}", number + 1) for number in range(count)}
+        for each in self.members.values():
+            for other in self.members.values():
                 if each is not other:
                     each._apply(other._own_update(), 0.0, "known")
             for name in list(each._transmit_counts):
                 each._set_transmit_count(name, None)
             each.changes.clear()
 
-    def _new(self, name: str, life: int) -> Membership:
-        return self.make(name, f"a-{name}", life, ("a-n0", "a-n1"), OPTIONS, life, self.steps * STEP)
+    def _start(self, name: str, process_id: int) -> Membership:
+        return self.make_member(
+            name, f"a-{name}", process_id, ("a-n0", "a-n1"), OPTIONS, process_id, self.steps * STEP
+        )
 
     def freeze(self) -> bytes:
-        """The same state in bytes: to tell states apart, and to copy them."""
+        """Return the state as bytes, by which states are compared and copied."""
         return pickle.dumps(self)
 
     def key(self) -> Hashable:
-        """Equal for equal states."""
-        return hash(self.freeze())  # 64 bits: of a million states two are taken for one with a chance of 1e-7
+        """Return a hash that is equal for equal states."""
+        return hash(self.freeze())  # 64 bits: two of a million states collide with a probability below 1e-7
 
     def violation(self) -> str | None:
-        """What is wrong."""
-        return self.wrong
+        """Return the invariant that this state violates, or None."""
+        return self.found_violation
 
-    def step(self, wrong: dict[int, str]) -> None:
-        """One step; what happens to the datagrams of these places."""
+    def step(self, message_faults: dict[int, str]) -> None:
+        """Advance by one step; `message_faults` maps places in `in_flight` to the fault of that datagram."""
         self.steps += 1
-        self.calm = 0 if wrong else self.calm + 1
-        before, self.flights = self.flights, []
+        self.quiet_steps = 0 if message_faults else self.quiet_steps + 1
+        previously_in_flight, self.in_flight = self.in_flight, []
         now = self.steps * STEP
         due: list[tuple[str, Send]] = []
-        for at, (left, sender, send) in enumerate(before):
-            what = wrong.get(at)
-            if what is not None:
-                self.budget[what] -= 1
-            if left > 0 or what in ("defer", "late"):
-                self.flights.append((left - 1 if left else (LONG if what == "late" else 0), sender, send))
-            elif what != "lose":
-                due += [(sender, send)] * (2 if what == "double" else 1)
+        for index, (steps_left, sender, send) in enumerate(previously_in_flight):
+            fault = message_faults.get(index)
+            if fault is not None:
+                self.budget[fault] -= 1
+            if steps_left > 0 or fault in ("defer", "late"):
+                self.in_flight.append(
+                    (steps_left - 1 if steps_left else (LATE_STEPS if fault == "late" else 0), sender, send)
+                )
+            elif fault != "lose":
+                due += [(sender, send)] * (2 if fault == "double" else 1)
         for _, (address, message) in due:
             name = address.removeprefix("a-")
             if name != self.down:
-                self.cores[name].receive(now, message)
-        for name, core in self.cores.items():
+                self.members[name].receive(now, message)
+        for name, member in self.members.items():
             if name != self.down:
-                core.turn(now)
-        for name, core in self.cores.items():
+                member.turn(now)
+        for name, member in self.members.items():
             if name == self.down:
                 continue
-            self.flights += [(0, name, send) for send in core.out]
-            core.out.clear()
-            self._look(name, core)
-        if self.calm >= SETTLED:
-            self._settled()
+            self.in_flight += [(0, name, send) for send in member.out]
+            member.out.clear()
+            self._check_member(name, member)
+        if self.quiet_steps >= CONVERGENCE_STEPS:
+            self._check_convergence()
 
     def crash(self, name: str) -> None:
-        """It is gone, with what it knew."""
-        self.down, self.crashed, self.calm = name, name, 0
-        self.above.pop(name, None)
+        """Stop a process; its state is lost."""
+        self.down, self.last_crashed, self.quiet_steps = name, name, 0
+        self.last_incarnations.pop(name, None)
         self.budget["crash"] -= 1
 
-    def back(self) -> None:
-        """It comes back and knows nothing."""
+    def restart(self) -> None:
+        """Start the crashed process again, without any state of its former run."""
         assert self.down is not None
-        self.lives += 1
-        name, self.down, self.calm = self.down, None, 0
+        self.processes_started += 1
+        name, self.down, self.quiet_steps = self.down, None, 0
         self.budget["back"] -= 1
-        self.cores[name] = self._new(name, self.lives)
+        self.members[name] = self._start(name, self.processes_started)
 
-    def _look(self, name: str, core: Membership) -> None:
-        for change in core.changes:
+    def _check_member(self, name: str, member: Membership) -> None:
+        for change in member.changes:
             if "two processes" in change.why:
-                self.wrong = f"{name} takes itself for two"
-            if change.after is State.DEAD and change.name != self.crashed:
-                self.wrong = f"{name} buries {change.name}, which lives"
-        if core.incarnation < self.above.get(name, 0):
-            self.wrong = f"{name} lowers its incarnation"
-        self.above[name] = core.incarnation
-        core.changes.clear()
-
-    def _settled(self) -> None:
-        living = {name for name in self.cores if name != self.down}
-        for name in living:
-            core = self.cores[name]
-            alive = {name, *core.names_in(State.ALIVE)}
-            if alive != living or core.names_in(State.SUSPECT):
-                self.wrong = f"{name} holds {sorted(alive)} alive, and {sorted(living)} are"
+                self.found_violation = f"{name} reports two processes of its name, but only one runs"
+            if change.after is State.DEAD and change.name != self.last_crashed:
+                self.found_violation = f"{name} declares {change.name} dead, which is running"
+        if member.incarnation < self.last_incarnations.get(name, 0):
+            self.found_violation = f"{name} lowers its incarnation"
+        self.last_incarnations[name] = member.incarnation
+        member.changes.clear()
+
+    def _check_convergence(self) -> None:
+        running = {name for name in self.members if name != self.down}
+        for name in running:
+            member = self.members[name]
+            alive = {name, *member.names_in(State.ALIVE)}
+            if alive != running or member.names_in(State.SUSPECT):
+                self.found_violation = (
+                    f"{name} believes {sorted(alive)} to be alive, but {sorted(running)} are running"
+                )
 
 
 class MembershipModel:
-    """Every order of events within a budget: datagrams `lose`, `double`, `defer`, `late`; `crash`, `back`."""
+    """Every order of events within a budget.
 
-    def __init__(self, count: int, budget: dict[str, int], make: Make = Membership, window: int = 8) -> None:
-        """All that goes wrong begins in the first `window` steps; who crashed comes back `APART` later."""
-        self._count, self._budget, self._make, self._window = count, budget, make, window
+    Faults of one datagram: `lose`, `double` (delivered twice), `defer` (one step late), `late` (`LATE_STEPS`
+    later than that). Faults of a process: `crash`, and `back` for its return.
+    """
+
+    def __init__(
+        self, count: int, budget: dict[str, int], make_member: MakeMember = Membership, window: int = 8
+    ) -> None:
+        """Begin all faults in the first `window` steps, except that a crashed process returns
+        `RETURN_DELAYS` steps after the last fault."""
+        self._count, self._budget, self._make_member, self._window = count, budget, make_member, window
 
     def initial_states(self) -> Iterator[tuple[str, MembershipState]]:
-        """All know each other."""
-        yield "", MembershipState(self._count, self._budget, self._make)
+        """Yield the one initial state: all members know each other."""
+        yield "", MembershipState(self._count, self._budget, self._make_member)
 
     def successors(self, state: MembershipState) -> Iterator[tuple[str, MembershipState]]:
-        """One step, with at most one thing going wrong in it."""
-        opens = state.steps < self._window
-        if state.calm > SETTLED and not opens:
+        """Yield the states after one step with at most one fault in it."""
+        in_window = state.steps < self._window
+        if state.quiet_steps > CONVERGENCE_STEPS and not in_window:
             return
         frozen = state.freeze()
 
@@ -155,21 +169,21 @@
             other: MembershipState = pickle.loads(frozen)
             return other
 
-        if opens and state.budget.get("crash") and state.down is None:
-            for name in state.cores:
+        if in_window and state.budget.get("crash") and state.down is None:
+            for name in state.members:
                 other = copy()
                 other.crash(name)
                 other.step({})
                 yield f"{name} crashes", other
-        if state.budget.get("back") and state.down is not None and state.calm in APART:
+        if state.budget.get("back") and state.down is not None and state.quiet_steps in RETURN_DELAYS:
             other = copy()
-            other.back()
+            other.restart()
             other.step({})
             yield f"{state.down} is back", other
-        if opens or state.calm < LONG:
-            kinds = ("lose", "double", "defer", "late")
+        if in_window or state.quiet_steps < LATE_STEPS:
+            faults = ("lose", "double", "defer", "late")
             yield from successors_with_message_fault(
-                state, [kind for kind in kinds if state.budget.get(kind)], copy
+                state, [fault for fault in faults if state.budget.get(fault)], copy
             )
         other = copy()
         other.step({})
--- a/tests/lab/test_lease_history.py
+++ b/tests/lab/test_lease_history.py
@@ -1,4 +1,4 @@
-"""The checker of histories: right ones and wrong ones by hand."""
+"""Checker of lease histories: valid and invalid histories written by hand."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from switchhub.lab.lease_history import HistoryEntry, find_violations
 
 
-def told(text: str) -> list[HistoryEntry]:
-    """`a held 3; a effect 3`: one each second."""
-    out = []
+def parse_history(text: str) -> list[HistoryEntry]:
+    """Parse entries such as `a held 3; a effect 3 LEASE`, one per second; the default lease is `d`."""
+    entries = []
     for at, line in enumerate(text.split("; ")):
         by, kind, token, *rest = line.split()
-        out.append(HistoryEntry(float(at), kind, rest[0] if rest else "d", int(token), by))
-    return out
+        entries.append(HistoryEntry(float(at), kind, rest[0] if rest else "d", int(token), by))
+    return entries
 
 
 @pytest.mark.parametrize(
@@ -26,12 +26,12 @@
         "a lost 1; a held 2; a lost 2; a lost 2",
     ],
 )
-def test_a_right_history_has_no_fault(text: str) -> None:
-    assert find_violations(told(text)) == []
+def test_valid_history_has_no_violation(text: str) -> None:
+    assert find_violations(parse_history(text)) == []
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected_violation"),
     [
         ("a held 1; b held 2", "d: b holds at 1.000, and so does a"),
         ("a held 3; a lost 3; b held 2", "b holds under token 2 after token 3"),
@@ -39,17 +39,23 @@
         ("a held 1; a lost 1; a effect 1", "effect by a under token 1 at 2.000, which it does not hold"),
         ("a held 1; a lost 1; a renewed 1", "renewed by a"),
         ("a held 1; b effect 1", "token 1 was a's and b's"),
-        ("a effect 2; b effect 3; a effect 2; b effect 3", "1 effects under a spent token"),
+        ("a effect 2; b effect 3; a effect 2; b effect 3", "1 effects under a stale token"),
         ("a effect 2; b effect 2", "token 2 was a's and b's"),
     ],
 )
-def test_a_wrong_history_is_told(text: str, says: str) -> None:
-    assert any(says in each for each in find_violations(told(text))), find_violations(told(text))
-
-
-def test_a_counted_name_has_so_many_holders_and_no_more() -> None:
-    right = "a held 1 r#0; b held 1 r#1; a lost 1 r#0; c held 2 r#0; c effect 2 r#0"
-    assert find_violations(told(right), 2) == []
-    assert find_violations(told(right), 1) == []  # each slot is a lease of its own
-    assert "r: 3 hold at 2.000, 2 may" in find_violations(told("a held 1 r#0; b held 1 r#1; c held 1 r#2"), 2)
-    assert "r: one holds twice at 1.000" in find_violations(told("a held 1 r#0; a held 1 r#1"), 2)
+def test_invalid_history_is_reported(text: str, expected_violation: str) -> None:
+    assert any(expected_violation in each for each in find_violations(parse_history(text))), find_violations(
+        parse_history(text)
+    )
+
+
+def test_counted_lease_has_at_most_its_number_of_holders() -> None:
+    valid = "a held 1 r#0; b held 1 r#1; a lost 1 r#0; c held 2 r#0; c effect 2 r#0"
+    assert find_violations(parse_history(valid), 2) == []
+    assert find_violations(parse_history(valid), 1) == []  # each slot is a lease of its own
+    assert "r: 3 holders at 2.000, 2 allowed" in find_violations(
+        parse_history("a held 1 r#0; b held 1 r#1; c held 1 r#2"), 2
+    )
+    assert "r: one process holds two slots at 1.000" in find_violations(
+        parse_history("a held 1 r#0; a held 1 r#1"), 2
+    )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -263,7 +263,7 @@
     """The judge itself: without a trouble the same log line is a fault, and with one it is none."""
     record = Record("", balancers=3, effects=[(1.0, "d", 1, "n0"), (1.1, "d", 2, "n1"), (1.2, "d", 1, "n0")])
     assert record.violations() == [
-        "d: 1 effects under a spent token, the first (1.2, 'effect', 'd', 1, 'n0')"
+        "d: 1 effects under a stale token, the first (1.2, 'effect', 'd', 1, 'n0')"
     ]
     record.effects[-1] = (1.2, "d", 2, "n0")
     assert record.violations() == ["d: token 2 was n1's and n0's"]
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -1,4 +1,8 @@
-"""Membership: every order of events of three and four, and mutants that the explorer must find."""
+"""Exhaustive exploration of memberships of three and four members.
+
+The explorer runs every order of events within a budget of faults. Each safeguard is then removed in a
+subclass, and the explorer has to find the violation that it prevents.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +29,12 @@
         (4, {"crash": 1, "back": 1}, 4),
     ],
 )
-def test_a_living_one_is_never_buried_and_views_converge(
+def test_running_member_is_never_declared_dead_and_views_converge(
     count: int, budget: dict[str, int], window: int
 ) -> None:
-    found = explore(MembershipModel(count, budget, window=window), 60_000, 400)
-    assert found.violation is None, found
-    assert found.complete and found.states > 300
+    result = explore(MembershipModel(count, budget, window=window), 60_000, 400)
+    assert result.violation is None, result
+    assert result.complete and result.states > 300
 
 
 class NeverRefutes(Membership):
@@ -38,8 +42,8 @@
         pass
 
 
-class AsksOnce(Membership):
-    """No helpers, no second question, and no time to refute."""
+class ProbesOnceWithoutSuspicionTime(Membership):
+    """No indirect probers, no second probe, and hardly any time to refute a suspicion."""
 
     def _retry_probe(self, probe: Probe, now: float) -> None:
         probe.retry_at, probe.indirect_probers = 1e9, 0
@@ -48,18 +52,18 @@
         return 0.1
 
 
-class NeverBuries(Membership):
+class NeverDeclaresDead(Membership):
     def _declare_dead(self, name: str, member: Member, now: float) -> None:
         member.dead_at = now + 1.0
 
 
-class NeverCalls(Membership):
+class NeverReconnects(Membership):
     def _reconnect(self, now: float) -> None:
         self._reconnect_at = now + 1.0
 
 
-class Forgetful(Membership):
-    """Starts each life, and each claim, from nothing."""
+class ResetsIncarnation(Membership):
+    """Sets its incarnation to 0 where it should raise it above a claim about its former process."""
 
     def _raise_incarnation(self, above: int) -> None:
         self.incarnation = 0
@@ -67,29 +71,31 @@
 
 
 @pytest.mark.parametrize(
-    ("mutant", "budget", "says"),
+    ("mutant", "budget", "expected_violation"),
     [
-        (NeverRefutes, {"crash": 1, "back": 1}, "alive, and"),
-        (AsksOnce, {"lose": 1}, "which lives"),
-        (NeverBuries, {"crash": 1}, "alive, and"),
-        (NeverCalls, {"crash": 1, "back": 1}, "alive, and"),
-        (Forgetful, {"crash": 1, "back": 1}, "alive, and"),
+        (NeverRefutes, {"crash": 1, "back": 1}, "to be alive, but"),
+        (ProbesOnceWithoutSuspicionTime, {"lose": 1}, "dead, which is running"),
+        (NeverDeclaresDead, {"crash": 1}, "to be alive, but"),
+        (NeverReconnects, {"crash": 1, "back": 1}, "to be alive, but"),
+        (ResetsIncarnation, {"crash": 1, "back": 1}, "to be alive, but"),
     ],
 )
-def test_each_guard_is_needed(mutant: type[Membership], budget: dict[str, int], says: str) -> None:
-    found = explore(MembershipModel(3, budget, mutant), 60_000, 400)
-    assert found.violation is not None and says in found.violation, found
+def test_explorer_finds_violation_without_safeguard(
+    mutant: type[Membership], budget: dict[str, int], expected_violation: str
+) -> None:
+    result = explore(MembershipModel(3, budget, mutant), 60_000, 400)
+    assert result.violation is not None and expected_violation in result.violation, result
 
 
-def _believed(order: tuple[MemberUpdate, ...]) -> tuple[int, State]:
+def _state_after(updates: tuple[MemberUpdate, ...]) -> tuple[int, State]:
     member = Membership("n0", "a-n0", 1, (), Options(), 1, 0.0)
-    for news in order:
-        member._apply(news, 0.0, "")
+    for update in updates:
+        member._apply(update, 0.0, "")
     known = member.members["x"].latest
     return known.incarnation, known.state
 
 
-WORDS = [
+UPDATES = [
     MemberUpdate("x", "a-x", 7, incarnation, state, "w")
     for incarnation, state in (
         (0, State.ALIVE),
@@ -101,11 +107,11 @@
 ]
 
 
-def test_what_all_have_heard_all_believe_in_whatever_order_it_came() -> None:
-    assert {_believed(order) for order in permutations(WORDS)} == {(2, State.LEFT)}
-    assert {_believed(order) for order in permutations(WORDS[:4])} == {(1, State.SUSPECT)}
+def test_same_updates_in_any_order_give_same_state() -> None:
+    assert {_state_after(updates) for updates in permutations(UPDATES)} == {(2, State.LEFT)}
+    assert {_state_after(updates) for updates in permutations(UPDATES[:4])} == {(1, State.SUSPECT)}
 
 
-def test_without_an_order_among_words_the_last_one_stands(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_precedence_among_updates_the_last_one_wins(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MemberUpdate, "supersedes", lambda self, other: self != other)
-    assert len({_believed(order) for order in permutations(WORDS)}) > 1
+    assert len({_state_after(updates) for updates in permutations(UPDATES)}) > 1
