--- a/switchhub/lab/membership_simulation.py
+++ b/switchhub/lab/membership_simulation.py
@@ -1,7 +1,8 @@
-"""Membership in virtual time: the real core, its messages through a network that loses, delays and cuts.
+"""Simulation of a membership in virtual time.
 
-Owns: the members, and the record of what each believed when. Must never: decide anything
-for a member. The same seed gives the same record, byte for byte.
+The members run the real `Membership` code; their messages pass through a virtual network that loses and
+delays them and can be partitioned. The simulation records each change in each member's view and makes no
+decision for a member. The same seed gives the same record, byte for byte.
 """
 
 from __future__ import annotations
@@ -14,67 +15,70 @@
 from switchhub.membership.messages import State
 from switchhub.membership.swim import Change, Membership, Options
 
-Make = Callable[..., Membership]
+MakeMember = Callable[..., Membership]
 
 
 class RecordedChange(NamedTuple):
-    """A change at one member."""
+    """A change in the view of one member."""
 
-    at: float
+    at: float  # seconds of virtual time
     by: str
     change: Change
 
 
 class MembershipSimulation(VirtualNetwork[Membership]):
-    """So many members; `loss` is the part of datagrams lost, `slow` the part of members that stand still for
-    up to `stall` seconds again and again."""
+    """A membership of `count` members.
+
+    `loss` is the fraction of datagrams that are lost, `slow_fraction` the fraction of members that are paused
+    for up to `stall_max_s` seconds again and again. With `joined`, all members know each other at the start.
+    """
 
     def __init__(
         self,
         count: int,
         seed: int,
         options: Options | None = None,
-        make: Make = Membership,
+        make_member: MakeMember = Membership,
         loss: float = 0.0,
         slow_fraction: float = 0.0,
-        stall: float = 1.0,
+        stall_max_s: float = 1.0,
         joined: bool = True,
     ) -> None:
-        super().__init__(Random(f"members/{seed}"), loss, stall)
+        super().__init__(Random(f"members/{seed}"), loss, stall_max_s)
         self.options = options or Options()
         self.recorded_changes: list[RecordedChange] = []
-        self._make, self._lives = make, 0
+        self._make_member, self._processes_started = make_member, 0
         self.names = [f"n{number}" for number in range(count)]
         for name in self.names:
             self.start(name)
         if joined:
             self._introduce()
-        slow_ones = self.names[: round(slow_fraction * count)]
-        for name in slow_ones:
+        slow_members = self.names[: round(slow_fraction * count)]
+        for name in slow_members:
             self._schedule(self.rng.random() * 3, name, "!slow", None)
 
     def start(self, name: str, address: str = "", seeds: tuple[str, ...] = ("n0", "n1")) -> Membership:
-        """A process of this name, at its own address unless another is named."""
-        self._lives += 1
-        life = self.rng.getrandbits(32)
-        place = address or f"a-{name}"
-        member = self._make(
+        """Start a process of this name and return it; its address is `a-NAME` unless another is given."""
+        self._processes_started += 1
+        process_id = self.rng.getrandbits(32)
+        member_address = address or f"a-{name}"
+        member = self._make_member(
             name,
-            place,
-            life,
+            member_address,
+            process_id,
             tuple(f"a-{each}" for each in seeds),
             self.options,
             self.rng.getrandbits(64),
             self.local_time(name),
         )
-        key = place.removeprefix("a-")
+        key = member_address.removeprefix("a-")
         self.nodes[key] = member
         self.down.discard(key)
         self._process_output(key)
         return member
 
     def _introduce(self) -> None:
-        """Everybody knows everybody: what is measured is not the joining."""
+        """Make all members known to each other, so that joining is not part of what is measured."""
         for each in self.nodes.values():
             for other in self.nodes.values():
                 if other is not each:
@@ -89,53 +93,72 @@
         self.nodes[key].changes.clear()
 
     def running_members(self) -> list[Membership]:
-        """Those that run."""
+        """Return the members whose process runs and that have not left."""
         return [each for key, each in self.nodes.items() if key not in self.down and not each.has_left]
 
     def views_agree(self) -> bool:
-        """Whether each that runs holds exactly those that run to be alive."""
+        """Return whether each running member believes exactly the running members to be alive."""
         names = {each.name for each in self.running_members()}
         return all({each.name, *each.names_in(State.ALIVE)} == names for each in self.running_members())
 
 
 def measure_death_detection(
-    count: int, seed: int, make: Make = Membership, **trouble: Any
+    count: int, seed: int, make_member: MakeMember = Membership, **network_options: Any
 ) -> dict[str, float]:
-    """One of so many dies: seconds to the first and to the last that knows."""
-    world = MembershipSimulation(count, seed, make=make, **trouble)
-    world.run_until(2.0)
-    gone = world.names[-1]
-    world.kill(gone)
-    at, limit = world.now, 60.0
-    knows: dict[str, float] = {}
-    while len(knows) < count - 1 and world.now < at + limit:
-        world.run_until(world.now + 0.25)
-        for seen in world.recorded_changes:
-            if seen.change.name == gone and seen.change.after is State.DEAD and seen.at >= at:
-                knows.setdefault(seen.by, seen.at - at)
-    times = sorted(knows.values())
-    whole = len(times) == count - 1
-    return {"first": times[0] if times else limit, "all": times[-1] if whole else limit}
+    """Kill one of `count` members and measure when the others learn of it.
+
+    Returns the seconds until the first member (`first`) and until every member (`all`) declared it dead, at
+    most 60 s. `network_options` are passed to `MembershipSimulation`.
+    """
+    simulation = MembershipSimulation(count, seed, make_member=make_member, **network_options)
+    simulation.run_until(2.0)
+    killed = simulation.names[-1]
+    simulation.kill(killed)
+    killed_at, limit = simulation.now, 60.0
+    detection_delays: dict[str, float] = {}
+    while len(detection_delays) < count - 1 and simulation.now < killed_at + limit:
+        simulation.run_until(simulation.now + 0.25)
+        for each in simulation.recorded_changes:
+            if each.change.name == killed and each.change.after is State.DEAD and each.at >= killed_at:
+                detection_delays.setdefault(each.by, each.at - killed_at)
+    delays = sorted(detection_delays.values())
+    all_detected = len(delays) == count - 1
+    return {"first": delays[0] if delays else limit, "all": delays[-1] if all_detected else limit}
 
 
 def measure_steady_state(
-    count: int, seed: int, seconds: float = 120.0, make: Make = Membership, **trouble: Any
+    count: int,
+    seed: int,
+    seconds: float = 120.0,
+    make_member: MakeMember = Membership,
+    **network_options: Any,
 ) -> dict[str, float]:
-    """Nobody dies: accusations and burials an hour, of all by all, and what each sends a second."""
-    world = MembershipSimulation(count, seed, make=make, **trouble)
-    world.run_until(5.0)
-    world.recorded_changes.clear()
-    world.datagrams_sent = world.datagram_bytes = world.full_state_bytes = 0
-    world.run_until(5.0 + seconds)
-    accused = {(seen.change.name, seen.change.incarnation) for seen in world.recorded_changes
-               if seen.change.after is State.SUSPECT}  # fmt: skip
-    buried = {(seen.change.name, seen.change.incarnation) for seen in world.recorded_changes
-              if seen.change.after is State.DEAD}  # fmt: skip
-    hour = 3600 / seconds
+    """Run `count` members without any death and measure false suspicions and traffic.
+
+    Returns false suspicions (`accused`) and false death declarations (`buried`) per hour in the whole
+    membership, and per member and second the datagrams, their bytes and the bytes of full states
+    (`whole_bytes`).
+    """
+    simulation = MembershipSimulation(count, seed, make_member=make_member, **network_options)
+    simulation.run_until(5.0)
+    simulation.recorded_changes.clear()
+    simulation.datagrams_sent = simulation.datagram_bytes = simulation.full_state_bytes = 0
+    simulation.run_until(5.0 + seconds)
+    suspected = {
+        (each.change.name, each.change.incarnation)
+        for each in simulation.recorded_changes
+        if each.change.after is State.SUSPECT
+    }
+    declared_dead = {
+        (each.change.name, each.change.incarnation)
+        for each in simulation.recorded_changes
+        if each.change.after is State.DEAD
+    }
+    windows_per_hour = 3600 / seconds
     return {
-        "accused": len(accused) * hour,
-        "buried": len(buried) * hour,
-        "datagrams": world.datagrams_sent / seconds / count,
-        "bytes": world.datagram_bytes / seconds / count,
-        "whole_bytes": world.full_state_bytes / seconds / count,
+        "accused": len(suspected) * windows_per_hour,
+        "buried": len(declared_dead) * windows_per_hour,
+        "datagrams": simulation.datagrams_sent / seconds / count,
+        "bytes": simulation.datagram_bytes / seconds / count,
+        "whole_bytes": simulation.full_state_bytes / seconds / count,
     }
--- a/tests/test_accept_right.py
+++ b/tests/test_accept_right.py
@@ -74,7 +74,7 @@
     ("mutant", "budget", "says"),
     [
         (NeverSuspectsPeer, {"stop": 1}, "nobody accepts"),
-        (ActsBeforeReading, {"stop": 1, "wake": 1}, "was not"),
+        (ActsBeforeReading, {"stop": 1, "wake": 1}, "but it was not"),
         (AcceptsBeforeReading, {"stop": 1, "wake": 1}, "a generation that is over"),
         (NeverGivesBack, {"stop": 1, "wake": 1}, "settled on"),
         (NewerNeverWatchesOlder, {"stop": 2, "wake": 1}, "nobody accepts"),
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -327,18 +327,18 @@
 
 def test_mutants_are_found() -> None:
     """Each breaks one of the tests above."""
-    world = MembershipSimulation(10, 1, make=NoRefutation, loss=0.3)
+    world = MembershipSimulation(10, 1, make_member=NoRefutation, loss=0.3)
     world.run_until(60.0)
     assert buried(world)
-    world = MembershipSimulation(7, 1, make=NoCalls)
+    world = MembershipSimulation(7, 1, make_member=NoCalls)
     world.run_until(2.0)
     world.is_cut = lambda a, b: (a in "n0n1n2") is not (b in "n0n1n2")
     world.run_until(12.0)
     world.is_cut = lambda a, b: False
     world.run_until(20.0)
     assert not world.views_agree()
-    assert measure_steady_state(10, 1, 60.0, make=NoHelp, loss=0.3)["buried"] > 0
-    world = MembershipSimulation(7, 1, make=Oblivious)
+    assert measure_steady_state(10, 1, 60.0, make_member=NoHelp, loss=0.3)["buried"] > 0
+    world = MembershipSimulation(7, 1, make_member=Oblivious)
     world.run_until(3.0)
     # It suspects somebody, stands still, and buries it when it wakes, before it has read the refutation.
     member = world.nodes["n2"]
