--- a/switchhub/lab/lease_model.py
+++ b/switchhub/lab/lease_model.py
@@ -30,7 +30,7 @@
 VOTER_DOWN_STEPS = (1, 6)  # steps that a voter is down before it is back without its state
 FOLLOW_UP_STEPS = 34  # steps explored after the last fault, per second of lease length
 LEASE = "duty"
-InFlight = tuple[int, str, OutgoingMessage]  # steps until it arrives, sender, message
+InFlight = tuple[int, str, OutgoingMessage]  # steps left before delivery, sender, message
 MakeVoter = Callable[..., Voter]
 MakeProposer = Callable[..., Proposer]
 
--- a/switchhub/lab/membership_model.py
+++ b/switchhub/lab/membership_model.py
@@ -24,12 +24,13 @@
     full_state_interval=1e6,
     retention=1e6,
 )
-# steps from a crash to the return: before a probe fails, before suspicion, before declared death, after it
+# steps from a crash to the return: before a probe fails, before the member is suspected, before it is
+# declared dead, and after that
 RETURN_DELAYS = (1, 5, 12, 40)
 LATE_STEPS = 6  # steps that a `late` datagram waits longer than a deferred one
 CONVERGENCE_STEPS = 56  # steps after the last fault by which all views must be right
 MakeMember = Callable[..., Membership]
-InFlight = tuple[int, str, Send]  # steps until it arrives, sender, datagram
+InFlight = tuple[int, str, Send]  # steps left before delivery, sender, datagram
 
 
 class MembershipState:
--- a/switchhub/lab/membership_simulation.py
+++ b/switchhub/lab/membership_simulation.py
@@ -22,7 +22,7 @@
     """A change in the view of one member."""
 
     at: float  # seconds of virtual time
-    by: str
+    by: str  # the member whose view changed
     change: Change
 
 
