--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -282,7 +282,7 @@
     """The checker itself: a death in the log is a violation unless a fault was injected before it."""
     record = Record("", balancers=3, effects=[(1.0, "d", 1, "n0"), (1.1, "d", 2, "n1"), (1.2, "d", 1, "n0")])
     assert record.violations() == [
-        "d: 1 effects under a spent token, the first (1.2, 'effect', 'd', 1, 'n0')"
+        "d: 1 effects under a stale token, the first (1.2, 'effect', 'd', 1, 'n0')"
     ]
     record.effects[-1] = (1.2, "d", 2, "n0")
     assert record.violations() == ["d: token 2 was n1's and n0's"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -334,18 +334,18 @@
 
 def test_broken_variants_fail() -> None:
     """Each variant lacks one safeguard, and the faults of the tests above must reveal it."""
-    world = MembershipSimulation(10, 1, make=NeverRefutes, loss=0.3)
+    world = MembershipSimulation(10, 1, make_member=NeverRefutes, loss=0.3)
     world.run_until(60.0)
     assert declared_dead(world)
-    world = MembershipSimulation(7, 1, make=NeverReconnects)
+    world = MembershipSimulation(7, 1, make_member=NeverReconnects)
     world.run_until(2.0)
     world.is_cut = lambda src, dst: (src in "n0n1n2") is not (dst in "n0n1n2")
     world.run_until(12.0)
     world.is_cut = lambda src, dst: False
     world.run_until(20.0)
     assert not world.views_agree()
-    assert measure_steady_state(10, 1, 60.0, make=NoTimeToRefute, loss=0.3)["buried"] > 0
-    world = MembershipSimulation(7, 1, make=IgnoresPauses)
+    assert measure_steady_state(10, 1, 60.0, make_member=NoTimeToRefute, loss=0.3)["buried"] > 0
+    world = MembershipSimulation(7, 1, make_member=IgnoresPauses)
     world.run_until(3.0)
     # It suspects a member, is paused, and on resuming declares it dead before it reads the refutation.
     member = world.nodes["n2"]
