--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -199,16 +199,16 @@
     ("mutant", "plan"),
     [
         (
-            f"{CORE}=tests.test_circle:NeverRefutes",
+            f"{CORE}=tests.test_membership_model:NeverRefutes",
             Plan(5, ("kill n1", "say -n1 n1 dead 4", "start n1", "agree 4")),
         ),
-        (f"{CORE}=tests.test_circle:NeverBuries", Plan(5, ("kill n1", "say -n1 n1 dead 4"))),
+        (f"{CORE}=tests.test_membership_model:NeverDeclaresDead", Plan(5, ("kill n1", "say -n1 n1 dead 4"))),
         (
-            f"{CORE}=tests.test_circle:NeverCalls",
+            f"{CORE}=tests.test_membership_model:NeverReconnects",
             Plan(5, ("cut n0,n1 n2,n3,n4", "say n0,n1 n2,n3,n4 dead 6", "heal", "agree 6")),
         ),
         (
-            f"{CORE}=tests.test_circle:AsksOnce",
+            f"{CORE}=tests.test_membership_model:ProbesOnceWithoutSuspicionTime",
             Plan(5, ("oneway n0 n1", "3000", "heal", "agree 4")),
         ),
         (
